--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -22,33 +22,34 @@
 
 #include "impl/wire.h"
 
-/// \brief From a request's arrival to its answer: asks targets for their load
-/// at the moment of choice, waits, sends, retries, refuses.
+/// \brief Handles a request from its arrival to its answer: probes targets for
+/// their load at the moment of choice, queues, sends, retries and refuses.
 ///
-/// A plain struct and free functions: no clock, thread, socket or random
-/// source. Effects are data, in the order in which they are to be performed.
+/// A plain struct and free functions, without clock, thread, socket or source
+/// of randomness. Effects are returned as data, in the order in which they are
+/// to be performed.
 namespace geraniumpond::dispatch {
 
-/// \brief Load as a target tells it.
+/// \brief Load that a target reports.
 struct Report
 {
   int mRunning = 0;
   int mWaiting = 0;
   int mSlots = 1;
-  /// How long work takes there now; 1 is as usual.
+  /// Service time there relative to the usual; 1 is as usual.
   double mSlowness = 1;
 };
 
-/// \brief What an answer says of the requests a second that its target takes
-/// from all hosts together.
+/// \brief The request rate limit that a target states in an answer, for all
+/// hosts together.
 struct LimitWord
 {
   enum class Kind
   {
-    /// Nothing: there is no limit.
+    /// The answer states no limit.
     Silent,
     Named,
-    /// What it names is no rate.
+    /// The stated value is not a rate.
     Unreadable
   };
   Kind mKind = Kind::Silent;
@@ -62,55 +63,57 @@
   Micros mBrokenAt = 0;
 };
 
-/// \brief One target as this host sees it.
+/// \brief One target, as this host knows it.
 struct Target
 {
-  /// One incarnation: nothing that was known of an earlier one counts.
+  /// Id of one incarnation: nothing known of an earlier one applies.
   std::string mId;
-  /// The id that it announced, by which requests name it.
+  /// The id that it announced, by which requests address it.
   std::string mName;
   std::string mService;
   std::string mAddress;
   std::string mDataCentre;
-  /// Version of its program; empty where it does not say.
+  /// Version of its program; empty if unknown.
   std::string mRelease;
   int mSlots = 1;
-  /// Works at full speed from then on.
+  /// End of its warm-up, after which it works at full speed.
   Micros mWarmAt = 0;
 
   std::optional<Report> mReport;
   Micros mReportAt = 0;
-  /// Own requests sent since the report.
+  /// Requests of this host sent since the last report.
   int mSentSince = 0;
-  /// Own requests in flight.
+  /// Requests of this host in flight.
   int mRunning = 0;
 
   Micros mProbeSentAt = 0;
   bool mProbing = false;
   Micros mProbeTime = 3 * kMillisecond;
 
-  /// Failures to reach it, in a row.
+  /// Consecutive failures to reach it.
   int mUnreached = 0;
-  /// Given no work until a probe succeeds; the time of the next one.
+  /// Gets no requests until a probe succeeds at mProbeAgainAt or later.
   bool mSuspect = false;
   Micros mProbeAgainAt = 0;
   /// Smoothed share of requests that failed there, as of mFailedAt.
   double mFailureShare = 0;
   Micros mFailedAt = 0;
 
-  /// Requests a second that it takes from all hosts together, as it named them
-  /// last, and when any host saw it.
+  /// Requests a second that it accepts from all hosts together, as last stated,
+  /// and when any host saw it.
   std::optional<double> mLimit;
   Micros mLimitAt = 0;
-  /// This host's part of the limit.
+  /// This host's share of the limit.
   rate_share::Share mShare;
 
-  /// Its address refused, or was another one's, when it was asked last.
+  /// At the last probe or request its address refused connections or belonged
+  /// to another target.
   bool mEnded = false;
   std::vector<OpenEnd> mOpenEnds;
 };
 
-/// \brief Requests and extra attempts of one service in the last seconds.
+/// \brief Requests and extra attempts of one service within the sliding window
+/// of the budget.
 struct ExtraWindow
 {
   struct Slice
@@ -122,7 +125,7 @@
   std::deque<Slice> mSlices;
 };
 
-/// \brief Order of waiting requests: urgent ones first, then by deadline.
+/// \brief Order of waiting requests: by priority, then by deadline.
 struct WaitKey
 {
   int mPriority = 0;
@@ -136,79 +139,81 @@
   }
 };
 
-/// \brief Parts of a target's slots that are told apart in a LoadCurve.
+/// \brief Occupancy ranges of a target that a LoadCurve distinguishes.
 constexpr std::size_t kCurveBuckets = 16;
 
-/// \brief How many times as long work takes by how much of a target's slots was
-/// taken when it started.
+/// \brief Factor by which work takes longer, by the occupancy of the target
+/// when the work started.
 struct LoadCurve
 {
   std::array<double, kCurveBuckets> mStretch{};
   std::array<int, kCurveBuckets> mSeen{};
 };
 
-/// \brief How the speeds that a service's targets report behave.
+/// \brief Statistics of the speeds that a service's targets report.
 struct SpeedStatistics
 {
   /// Smoothed slowness.
   double mMean = 1;
-  /// Time between reports of one target, and changes of its speed in it.
+  /// Total time between consecutive reports of one target, and the number of
+  /// speed changes in it.
   double mWatched = 0;
   double mChanges = 0;
 };
 
-/// \brief One service at this host.
+/// \brief One service, as this host knows it.
 struct Service
 {
   std::string mName;
   std::string mHealthPath;
   std::vector<std::string> mTargets;
-  /// Those with a limit of which this host holds a part.
+  /// Targets with a limit of which this host has a share.
   std::vector<std::string> mHeld;
-  /// The targets that this host asks first; all of them where they are few.
+  /// The targets that this host probes first; all of them if they are few.
   std::vector<std::string> mSubset;
-  /// Targets that told their load lately, each once; some have gone since.
+  /// Targets that reported their load lately, each once; may include removed
+  /// ones.
   std::deque<std::string> mReported;
   std::set<WaitKey> mWaiting;
   ExtraWindow mExtra;
-  /// False once a target answered its health path without a report.
+  /// False once a target answered a probe without a load report.
   bool mTellsLoad = true;
-  /// Smoothed share of probes that found a target with room.
+  /// Smoothed share of probes that found a target with spare capacity.
   double mRoomShare = 0.5;
   LoadCurve mCurve;
   SpeedStatistics mSpeeds;
-  /// How many times as long work takes at a target that has just started;
-  /// twice until some have answered.
+  /// Factor by which work takes longer at a target that has just started; 2
+  /// until some have answered.
   double mColdStretch = 2;
-  /// Smoothed share of late requests that waited and found spare room, as of
-  /// mLateAt.
+  /// Smoothed share of late requests that waited and found spare capacity, as
+  /// of mLateAt.
   double mLateServed = 1;
   Micros mLateAt = 0;
-  /// Smoothed time between dispatches while requests wait.
+  /// Smoothed interval between dispatches while requests wait.
   double mDispatchInterval = 0;
   Micros mDispatchedAt = 0;
-  /// Requests were left waiting at the last dispatch.
+  /// True if requests were still waiting at the last dispatch.
   bool mWasBusy = false;
 };
 
-/// \brief How long clients say on their first try that they will wait, in
+/// \brief Statistics of the timeouts that clients state on their first try, in
 /// microseconds.
 struct PatienceStatistics
 {
   int mSeen = 0;
   double mMean = 0;
-  /// Smoothed distance from the mean.
+  /// Smoothed absolute deviation from the mean.
   double mDeviation = 0;
-  /// Smoothed share of requests that were taken for a later try.
+  /// Smoothed share of requests that were classified as retries.
   double mReturnShare = 0;
 };
 
-/// \brief What is learnt of a route's requests.
+/// \brief Learnt statistics of a route's requests.
 struct RouteStatistics
 {
   PatienceStatistics mPatience;
   int mAnswers = 0;
-  /// Smoothed time at a target that works as usual; 0 while unknown.
+  /// Smoothed service time at a target of usual speed; 0 while unknown.
   double mWork = 0;
   Micros mLearntAt = 0;
   double mAnswerBytes = 0;
@@ -221,14 +226,15 @@
   std::string mTarget;
   Micros mSentAt = 0;
   Micros mExpected = 0;
-  /// Bytes of its answer that count as large on the host's own link; else 0.
+  /// Expected bytes of a large answer, charged to the host's link; 0 for a
+  /// small answer.
   double mLargeBytes = 0;
-  /// What the choice was made on, for the log.
+  /// State of the target at the choice, for learning and the log.
   double mSlowness = 1;
   int mOccupancy = 0;
   int mSlots = 1;
   Micros mReportAge = 0;
-  /// The target had just started.
+  /// The target was still warming up.
   bool mCold = false;
 };
 
@@ -237,7 +243,7 @@
 {
   std::uint64_t mId = 0;
   std::string mClientRequestId;
-  /// Equal for requests that ask for the same, whoever sends them and when.
+  /// Equal for requests with the same content, whoever sends them and when.
   std::uint64_t mIdentity = 0;
   std::string mRoute;
   std::string mService;
@@ -259,30 +265,31 @@
   int mSent = 0;
   int mUnreached = 0;
   bool mMayHaveRun = false;
-  /// Looks for a second target while the first works.
+  /// Waits for a second target while the first attempt runs.
   bool mHedging = false;
   Micros mHedgeAt = 0;
-  /// When its timer is set for; 0 when none is.
+  /// Time for which its timer is set; 0 if none is.
   Micros mTimerAt = 0;
-  /// The client has its answer or has left; the attempt runs to its end.
+  /// The client has its answer or has disconnected, while the attempt runs to
+  /// its end.
   bool mDetached = false;
 };
 
-/// \brief A client's request has been read as a whole.
+/// \brief A client's request that has been read completely.
 struct Arrival
 {
   std::uint64_t mId = 0;
   std::string mClientRequestId;
   std::string mHostName;
   std::string mPath;
-  /// Of what it holds beside host name and path, but for what changes with each
-  /// try.
+  /// Digest of its content beside host name and path, without the fields that
+  /// change with each try.
   std::uint64_t mContentDigest = 0;
-  /// Time that the client waits; 0 when it does not say.
+  /// Timeout that the client states; 0 if none.
   Micros mPatience = 0;
 };
 
-/// \brief A request that came before the first policy.
+/// \brief A request that arrived before the first policy.
 struct Unrouted
 {
   Arrival mArrival;
@@ -292,7 +299,7 @@
 
 // ------------------------------------------------------------------- effects
 
-/// \brief Ask a target for its health and load.
+/// \brief Probe a target for its health and load.
 struct ProbeTarget
 {
   std::string mTarget;
@@ -306,46 +313,46 @@
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
   std::string mTarget;
-  /// The id by which the target knows itself.
+  /// The id that the target announced.
   std::string mTargetName;
   std::string mAddress;
-  /// Until when the target may work on it.
+  /// Deadline until which the target may work on it.
   Micros mDeadline = 0;
-  /// Only on a connection that is new or was proved alive just now.
+  /// Use only a connection that is new or has just been verified.
   bool mProvenConnection = false;
 };
 
-/// \brief Give an attempt up: close its connection.
+/// \brief Cancel an attempt: close its connection.
 struct CancelAttempt
 {
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
 };
 
-/// \brief Pass an attempt's answer on to the client.
+/// \brief Forward an attempt's answer to the client.
 struct DeliverAnswer
 {
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
 };
 
-/// \brief Answer a request here.
+/// \brief Answer a request without a target.
 struct ReplyToClient
 {
   std::uint64_t mRequest = 0;
   int mStatus = 503;
-  /// When to come back; 0 says nothing.
+  /// Delay before the client should retry; 0 if none is stated.
   Micros mRetryAfter = 0;
   std::string mReason;
 };
 
-/// \brief Tell the other hosts a fact.
+/// \brief Send a fact to the other hosts.
 struct TellFleet
 {
   gossip::Item mItem;
 };
 
-/// \brief A line for the log.
+/// \brief A log line.
 struct LogLine
 {
   int mLevel = 1;
@@ -363,15 +370,15 @@
 
 // -------------------------------------------------------------------- events
 
-/// \brief How a probe ended.
+/// \brief Result of a probe.
 struct ProbeEnd
 {
   std::string mTarget;
   bool mAnswered = false;
-  /// Nobody listens at its address.
+  /// Its address refused the connection.
   bool mRefused = false;
   bool mHealthy = false;
-  /// Id of the target that answered; empty when it does not say.
+  /// Id of the target that answered; empty if not stated.
   std::string mAnsweredBy;
   std::optional<Report> mReport;
   LimitWord mLimit;
@@ -395,11 +402,11 @@
   std::uint64_t mAttempt = 0;
   EndKind mKind = EndKind::Broken;
   int mStatus = 0;
-  /// Nobody listens at the target's address.
+  /// The target's address refused the connection.
   bool mRefused = false;
   /// The target states that it did not run the request.
   bool mNotRun = false;
-  /// Another target has the address now.
+  /// Another target uses the address now.
   bool mMisdirected = false;
   std::uint64_t mBytes = 0;
   std::optional<Report> mReport;
@@ -409,24 +416,24 @@
 
 // --------------------------------------------------------------------- state
 
-/// \brief What the deployment allows; summed over all hosts.
+/// \brief Bounds set by the deployment, as totals over all hosts.
 struct Bounds
 {
-  /// Extra arrivals at a service in any window: a share of its requests and a
+  /// Extra attempts at a service in any window: a share of its requests plus a
   /// fixed number.
   double mExtraRatio = 0.1;
   double mExtraFloor = 20;
   Micros mExtraWindow = 10 * kSecond;
   /// Probes per target and second.
   double mProbesPerTarget = 10;
-  /// Speed of the host's own link, in bytes a second.
+  /// Bandwidth of the host's link, in bytes a second.
   double mLinkBytesPerSecond = 125e6;
 };
 
-/// \brief Counters that the metrics address shows.
+/// \brief Counters published as metrics.
 using Counters = std::map<std::string, std::uint64_t>;
 
-/// \brief Everything that one host knows of its requests.
+/// \brief The dispatch state of one host.
 struct State
 {
   std::string mHostId;
@@ -434,10 +441,9 @@
   Bounds mBounds;
   std::uint64_t mRandom = 1;
   int mHosts = 1;
-  /// False while the number of hosts may be that of those heard of so far.
+  /// False while the number of hosts may only cover those heard of so far.
   bool mKnowsHosts = true;
-  /// A newer policy may be in force elsewhere: what is not found in this one
-  /// may be in that.
+  /// A newer policy may be in force elsewhere, with routes that this one lacks.
   bool mMayBeBehind = false;
   std::shared_ptr<const policy::TrafficPolicy> mPolicy;
   std::unordered_map<std::string, Target> mTargets;
@@ -446,71 +452,72 @@
   budget::TokenBucket mProbeBudget;
   std::unordered_map<std::uint64_t, Request> mRequests;
   std::map<std::uint64_t, Unrouted> mUnrouted;
-  /// Without a policy, one is expected until then: the host starts.
+  /// While the host starts without a policy, the time until which one is
+  /// expected.
   Micros mPolicyExpectedUntil = 0;
   std::set<std::pair<Micros, std::uint64_t>> mTimers;
   std::set<std::pair<Micros, std::string>> mProbeTimers;
   std::uint64_t mLastAttempt = 0;
   /// Sum of the running attempts' mLargeBytes.
   double mLargeBytes = 0;
-  /// Requests under which targets ended.
+  /// Requests that were running at targets when those ended.
   quarantine::State mQuarantine;
-  /// The hosts that divide limits; none while they are not known.
+  /// The hosts that divide rate limits among themselves; empty while unknown.
   rate_share::Members mSharers;
-  /// Limits of targets that this host has not heard of yet.
+  /// Limits of targets that are not known yet.
   std::map<std::string, gossip::Item> mEarlyLimits;
   Counters mCounters;
 };
 
-/// \brief Puts a policy in force.
+/// \brief Sets the policy in force.
 void SetPolicy(State& aState,
                Micros aNow,
                std::shared_ptr<const policy::TrafficPolicy> aPolicy);
 
-/// \brief Takes the targets as the catalog has them.
+/// \brief Updates the targets from the catalog.
 void SetTargets(State& aState,
                 Micros aNow,
                 const std::map<std::string, wire::TargetRecord>& aTargets,
                 Effects& aOut);
 
-/// \brief Notes how many hosts share the bounds.
+/// \brief Sets the number of hosts that share the bounds.
 void SetHosts(State& aState, Micros aNow, int aHosts);
 
-/// \brief True while any target names a limit.
+/// \brief True while any target has a rate limit.
 [[nodiscard]] bool HasLimits(const State& aState) noexcept;
 
-/// \brief True while anything is to be divided among hosts, or done by one of
-/// them.
+/// \brief True while a rate limit has to be divided among the hosts, or a
+/// suspected request assigned to one of them.
 [[nodiscard]] bool NeedsSharers(const State& aState) noexcept;
 
-/// \brief Notes the hosts among which limits of targets are divided.
+/// \brief Sets the hosts among which rate limits are divided.
 void SetSharers(State& aState, Micros aNow, rate_share::Members aSharers);
 
-/// \brief Equal for requests that ask for the same.
+/// \brief Identity of a request: equal for requests with the same content.
 [[nodiscard]] std::uint64_t IdentityOf(const Arrival& aArrival);
 
 void Arrive(State& aState, Micros aNow, const Arrival& aArrival, Effects& aOut);
 
-/// \brief Takes the requests that came before the first policy, once there is
-/// one and the targets are known.
+/// \brief Admits the requests that arrived before the first policy, once there
+/// is one and the targets are known.
 void AdmitUnrouted(State& aState, Micros aNow, Effects& aOut);
 void TakeProbe(State& aState, Micros aNow, const ProbeEnd& aEnd, Effects& aOut);
 void TakeEnd(State& aState, Micros aNow, const AttemptEnd& aEnd, Effects& aOut);
 
-/// \brief Takes a fact that another host tells.
+/// \brief Handles a fact from another host.
 void TakeGossip(State& aState,
                 Micros aNow,
                 const gossip::Item& aItem,
                 Effects& aOut);
 
-/// \brief An operator lets a suspected or quarantined request go, at all hosts;
-/// false when it is neither.
+/// \brief Releases a suspected or quarantined request at all hosts, on behalf
+/// of an operator; false when it is neither.
 bool ReleaseRequest(State& aState,
                     Micros aNow,
                     std::uint64_t aIdentity,
                     Effects& aOut);
 
-/// \brief The client closed its connection before its answer was complete.
+/// \brief Handles a client that disconnected before its answer was complete.
 void ClientLeft(State& aState,
                 Micros aNow,
                 std::uint64_t aRequest,
@@ -518,10 +525,11 @@
 
 void Tick(State& aState, Micros aNow, Effects& aOut);
 
-/// \brief Earliest time at which Tick() has something to do.
+/// \brief Earliest time at which Tick() has work to do.
 [[nodiscard]] Micros NextTick(const State& aState) noexcept;
 
-/// \brief Requests that have neither been answered nor have ended.
+/// \brief Number of requests that are queued, running or waiting for the first
+/// policy.
 [[nodiscard]] std::size_t RunningRequests(const State& aState) noexcept;
 
 } // namespace geraniumpond::dispatch
--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// Pause before a target that could not be reached is probed again; doubles
-/// with each failure in a row.
+/// Delay before an unreachable target is probed again; doubles with each
+/// consecutive failure.
 constexpr Micros kProbeAgainMin = 200 * kMillisecond;
 constexpr Micros kProbeAgainMax = 1600 * kMillisecond;
-/// Share of choices that may find no target with room at the first asking; a
-/// second one costs a round trip.
+/// Accepted probability that the first round of probes finds no target with
+/// spare capacity; a second round costs a round trip.
 constexpr double kMissed = 0.02;
-/// Targets with a limit that are asked before others.
+/// Targets with a request-rate limit that are probed before others.
 constexpr std::size_t kHeldAsked = 2;
 
 std::vector<Target*> Usable(State& aState,
@@ -41,8 +41,8 @@
   }
 }
 
-// A part of a limit that is not used now is lost to all hosts, while the other
-// targets are there for any of them.
+// An unused share of a rate limit is lost to all hosts, while targets without a
+// limit are available to every host.
 void PutHeldFirst(State& aState,
                   Micros aNow,
                   const Request& aRequest,
@@ -63,8 +63,8 @@
   aTargets.insert(aTargets.begin(), held.begin(), held.end());
 }
 
-// Targets of the own data centre first, in random order. Where there are many
-// of them some places go to others all the same, so that load spreads.
+// Targets of the local data centre come first, in random order. Targets with a
+// rate limit that this host has a share of precede them.
 std::vector<Target*> Candidates(State& aState,
                                 Micros aNow,
                                 const Request& aRequest,
@@ -90,7 +90,8 @@
   return all;
 }
 
-// As many as leave only kMissed of the choices without a target that has room.
+// Number of probes after which only kMissed of the choices find no target with
+// spare capacity.
 std::size_t WantedAnswers(const Service& aService)
 {
   const double share = std::clamp(aService.mRoomShare, 0.05, 0.95);
@@ -98,7 +99,8 @@
   return std::clamp(static_cast<std::size_t>(count), kAskMin, kAskMax);
 }
 
-// Fewer are asked as the probe budget runs low; what is known counts then.
+// Sends fewer probes as the probe budget runs low; the choice then relies on
+// reports already received.
 std::size_t AskCount(const State& aState, const Service& aService, Micros aNow)
 {
   const budget::TokenBucket& bucket = aState.mProbeBudget;
--- a/src/dispatch/choice.h
+++ b/src/dispatch/choice.h
@@ -7,10 +7,11 @@
 #include <utility>
 #include <vector>
 
-/// \brief What choosing a target and letting requests wait share.
+/// \brief Interface between choosing a target and the queue of waiting
+/// requests.
 namespace geraniumpond::dispatch {
 
-/// \brief What is to be done with a waiting request.
+/// \brief What to do with a waiting request.
 enum class Verdict
 {
   Send,
@@ -20,20 +21,22 @@
   NoTarget
 };
 
-/// \brief What all waiting requests of a service share while they are served in
-/// turn at one moment.
+/// \brief State shared by all waiting requests of a service during one pass
+/// over the queue.
 struct Look
 {
-  /// Targets whose report is fresh.
+  /// Targets with a fresh report.
   std::vector<Target*> mFresh;
-  /// The cheapest of them for a first attempt, by work and bytes of the answer;
-  /// void once a request was sent to one.
+  /// The cheapest of them for a first attempt, keyed by service time and answer
+  /// size; invalidated when a request is sent.
   std::map<std::pair<Micros, double>, Target*> mBest;
-  /// How many have room, and how many there are to ask; void as well.
+  /// Number of targets with spare capacity, and of usable targets; invalidated
+  /// likewise.
   std::optional<std::size_t> mRoom;
   std::optional<std::size_t> mUsable;
 
-  /// \brief A request was sent to one of the targets.
+  /// \brief Drops the cached values after a request was sent to one of the
+  /// targets.
   void Forget()
   {
     mBest.clear();
@@ -48,7 +51,7 @@
   Target* mTarget = nullptr;
 };
 
-/// \brief When a request that found no room is refused.
+/// \brief Time at which a request that found no capacity is refused.
 [[nodiscard]] Micros GiveUpAt(const Request& aRequest, const Need& aNeed);
 
 [[nodiscard]] Choice Choose(State& aState,
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -6,32 +6,36 @@
 #include <map>
 #include <utility>
 
-// Which target a waiting request goes to, or what else is to be done with it.
+// Chooses the target for a waiting request, or decides what else to do with the
+// request.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Work varies around its mean: with this many times the mean left a request
-/// mostly makes it.
+/// Service times vary around their mean: a request with this many times the
+/// mean left usually completes in time.
 constexpr double kWorkMargin = 1.5;
-/// Targets with room that a late request must see to take one of them: of
-/// eight that are asked, fewer are found by those in time as well.
+/// Targets with spare capacity that a late request must see before it takes one
+/// of them. Of eight probed targets, on-time requests also find fewer than
+/// this.
 constexpr std::size_t kRoomForLate = 3;
-/// Share of late requests that must have found room lately for another one to
-/// wait for it; smoothed over five of them, and forgotten in this time. Where
-/// deadlines are short beside an overload waiting is in vain; where they are
-/// long most find room when it ends.
+/// Share of recent late requests that must have found spare capacity for
+/// another one to wait for it; smoothed over five requests, with the half-life
+/// below. With short deadlines during an overload waiting is useless; with long
+/// deadlines most late requests find capacity once the overload ends.
 constexpr double kWorthWaiting = 0.7;
 constexpr double kLateGain = 0.2;
 constexpr double kLateHalfLife = 4.0 * kSecond;
-/// A late request that found no room is refused while this share of its time is
-/// left: enough for its client to come back and be served elsewhere, where a
-/// refusal at the end of the time leaves nothing to do.
+/// A late request that finds no capacity is refused while this share of its
+/// time is left, so that its client can retry and be served elsewhere. A
+/// refusal at the deadline leaves the client no time to retry.
 constexpr double kKeptForReturn = 0.5;
-/// Where more of the targets asked have room, one may be filled beyond the
-/// number with which it does most work: the next request finds another.
+/// Above this share of probed targets with spare capacity, a target may be
+/// loaded beyond its most efficient concurrency, because the next request will
+/// find another target.
 constexpr double kAmpleRoom = 0.6;
-/// Work assumed of a route without answers yet, as a share of its objective.
+/// Service time assumed for a route without answers yet, as a share of its
+/// latency objective.
 constexpr double kFirstWork = 0.35;
 
 std::vector<Target*> AllTargets(State& aState, const Service& aService)
@@ -43,7 +47,7 @@
   return all;
 }
 
-// The cheapest target that the request has not been sent to.
+// The cheapest target that has not been tried for this request.
 Target* Best(const std::vector<Target*>& aTargets,
              const Request& aRequest,
              const Need& aNeed,
@@ -65,7 +69,8 @@
   return best;
 }
 
-// Requests of a route that have not been sent yet share their choice.
+// Requests that have not been sent yet share the cached choice for their
+// service time and answer size.
 Target* BestFresh(Look& aLook,
                   const Request& aRequest,
                   const Need& aNeed,
@@ -95,7 +100,8 @@
     });
 }
 
-// Targets of the last look that would take a request at about their usual pace.
+// Targets with a fresh report that would serve one more request at close to
+// their usual speed.
 std::size_t RoomSeen(Look& aLook, const Need& aNeed, Micros aNow)
 {
   if (aLook.mRoom) {
@@ -111,7 +117,8 @@
   return *aLook.mRoom;
 }
 
-// Where few targets are left all of them together are enough.
+// Fewer targets with spare capacity suffice for a late request where only few
+// targets are usable.
 std::size_t UsableTargets(const State& aState,
                           Look& aLook,
                           const Request& aRequest)
@@ -141,8 +148,8 @@
   aService.mLateAt = aNow;
 }
 
-// A second attempt is for a request that is late or about to be; the first one
-// is left to its end where no target takes another without loss.
+// A hedged attempt is for a request that is late or about to be. The first
+// attempt continues alone when no other target has spare capacity.
 Choice SecondChoice(const Request& aRequest,
                     const Need& aNeed,
                     Target* aBest,
@@ -175,10 +182,10 @@
          RoomSeen(aLook, aNeed, aNow) >= wanted;
 }
 
-// With its objective lost a request takes only room that others leave: a slot
-// that it held would make one more request late. It waits for such room where
-// others found it lately; where they did not it is refused at once, and its
-// client told to come back later.
+// A request that has missed its latency objective takes only capacity that
+// others leave: occupying a slot would make one more request late. It waits for
+// spare capacity if recent late requests found some; otherwise it is refused at
+// once and its client told to retry later.
 Choice LateChoice(State& aState,
                   Look& aLook,
                   const Request& aRequest,
@@ -202,8 +209,8 @@
   return { Verdict::Hopeless, nullptr };
 }
 
-// A target whose limit has been left unused: only an answer tells that it has
-// ended.
+// A target whose share of the rate limit has not been used for a while: only an
+// answer can tell that the limit has been lifted.
 Target* UnusedTarget(const Look& aLook,
                      const Request& aRequest,
                      const Need& aNeed,
@@ -232,7 +239,7 @@
 }
 
 // A request waits for a target that meets its objective as long as one may
-// turn up in time: targets change their speed several times a second.
+// become available in time: targets change their speed several times a second.
 Choice Choose(State& aState,
               Look& aLook,
               const Request& aRequest,
@@ -248,7 +255,8 @@
   }
   const Service& service = *aNeed.mService;
   const bool tells = service.mTellsLoad;
-  // A late request asks once: those in time aNeed the probes.
+  // A late request gets one round of probes: requests that are on time need the
+  // probe budget.
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
   const bool more = tells && aRequest.mAskRound < (late ? 1 : kAskRounds);
   Target* best = tells
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -7,26 +7,29 @@
 
 namespace {
 
-/// A failing target is ranked as many times dearer at a failure share of 1.
+/// At a failure share of 1 the cost of a target is multiplied by 1 plus this.
 constexpr double kFailureWeight = 8;
-/// Smoothing of the failure share, and the time in which it halves.
+/// Smoothing gain of the failure share, and its half-life.
 constexpr double kFailureGain = 0.25;
 constexpr Micros kFailureHalfLife = 4 * kSecond;
-/// Crossing between data centres is as dear as this share of the work for a
-/// small answer, and grows with its size: links between them are shared.
+/// Cost of crossing between data centres, as a share of the service time: this
+/// much for a small answer, growing with the size of the answer because links
+/// between data centres are shared.
 constexpr double kCrossingShare = 0.3;
 constexpr double kCrossingBytes = 20000;
 constexpr double kCrossingMax = 6;
-/// An answer that takes longer than this on the own link is a large one.
+/// An answer that takes longer than this to transfer on the host's link counts
+/// as large.
 constexpr Micros kSmallAnswerTime = 50 * kMillisecond;
-/// Large answers that are on their way together take no longer than this on the
-/// own link, unless one alone does: probes, policies and other answers wait
-/// behind them.
+/// Concurrent large answers may occupy the host's link for no longer than this,
+/// unless a single one does: probes, policies and other answers queue behind
+/// them.
 constexpr Micros kLargeAnswersTime = 400 * kMillisecond;
-/// A trip to another data centre and back.
+/// Round-trip time to another data centre.
 constexpr Micros kCrossingTime = 3 * kMillisecond;
 
-// An old report says as much as speeds that hold for their usual time let it.
+// The weight of an old report decreases with its age, relative to the mean time
+// for which targets keep their speed.
 double SlownessOf(const Target& aTarget,
                   const SpeedStatistics& aSpeeds,
                   Micros aNow) noexcept
@@ -113,7 +116,8 @@
       kCrossingMax, kCrossingShare + aNeed.mAnswerBytes / kCrossingBytes);
     cost += share * static_cast<double>(aNeed.mWork);
   }
-  // Among equals the emptier one: the next request finds both usable.
+  // Prefer the less loaded of equal targets, so that the next request finds
+  // both usable.
   cost *= 1 + 0.05 * Occupancy(aTarget, aNow) / Slots(aTarget);
   return cost * (1 + kFailureWeight * FailureShare(aTarget, aNow));
 }
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -3,22 +3,24 @@
 #include <algorithm>
 #include <cstdlib>
 
-// Which targets ended, and under which requests. A broken answer alone says
-// little: links are cut, connections reset and idle ones closed. So the target
-// is asked at once: if its address refuses, or another incarnation answers
-// there, it has ended, and every request that it had is suspected.
+// Detects targets that ended and the requests that they were running. A broken
+// answer alone proves little, because links fail, connections are reset and
+// idle ones are closed. The target is therefore probed at once: if its address
+// refuses connections, or another incarnation answers there, it has ended, and
+// every request that it was running becomes suspected.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A target that has neither refused nor answered by then is out of reach.
+/// A target that has neither refused a connection nor answered within this time
+/// is treated as unreachable, not as ended.
 constexpr Micros kOpenEndTime = 3 * kSecond;
 constexpr std::size_t kMostOpenEnds = 64;
-/// An answer is told to other hosts again after this time: well within that
-/// for which it counts.
+/// Interval at which an answer is reported to other hosts again; well below the
+/// time for which it counts.
 constexpr Micros kAnswerPace = 5 * kSecond;
 constexpr std::size_t kIdentityDigits = 16;
-/// Value of an answer that an operator vouches for.
+/// Value of an answer fact that stands for a release by an operator.
 constexpr const char* kReleased = "released";
 
 void LogVerdict(const State& aState,
@@ -93,7 +95,8 @@
   }
 }
 
-// Whether a target has ended is worth a probe beyond the budget; it is charged.
+// Detecting that a target has ended justifies a probe beyond the budget; the
+// probe is still charged.
 void AskNow(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
   (void)budget::Take(aState.mProbeBudget, aNow, 1);
@@ -105,7 +108,7 @@
   return std::strtoull(aText.substr(0, kIdentityDigits).c_str(), nullptr, 16);
 }
 
-// A target that ended without a word stays in the catalog.
+// A target that crashed without withdrawing stays in the catalog.
 std::set<std::string> ReleasesThatRun(const State& aState,
                                       const std::string& aService,
                                       const quarantine::Record& aRecord)
@@ -140,7 +143,7 @@
         Describe(aState, aRequest, aNow) + " target=" + aAttempt.mTarget);
   const auto found = aState.mTargets.find(aAttempt.mTarget);
   if (found == aState.mTargets.end()) {
-    // It was leaving, and has left.
+    // The target was draining and has been removed.
     return;
   }
   Target& target = found->second;
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-// What follows from the end of an attempt.
+// Handles the end of an attempt.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Smoothing of what is learnt of a route.
+/// Smoothing gain of a route's statistics.
 constexpr double kWorkGain = 0.08;
-/// Most that one answer counts for, over the usual time.
+/// Upper bound on one answer's time relative to the usual time.
 constexpr double kMostRatio = 3;
 constexpr int kServerError = 500;
 constexpr int kNotSuccess = 300;
@@ -39,17 +39,18 @@
   aLearnt.mWork += gain * (aWork - aLearnt.mWork);
 }
 
-// What a target was like when the request came tells how long its work takes
-// elsewhere. Each answer counts for the work, by what is known of the service,
-// and for what is known of the service, by the work.
+// Uses the target's state when the request was sent to learn the service time
+// at a target of usual speed. Each answer updates the service time using what
+// is known of the service, and the service's statistics using the known service
+// time.
 void Learn(State& aState,
            const Request& aRequest,
            const Attempt& aAttempt,
            const AttemptEnd& aEnd,
            Micros aNow)
 {
-  // An answer that is taken after its deadline waited here: this host stood
-  // still.
+  // An answer processed after its deadline was delayed in this host, because
+  // the process was stalled.
   if (aAttempt.mSlowness > kUsualSlowness || aEnd.mStatus >= kNotSuccess ||
       aNow > aRequest.mDeadline) {
     return;
@@ -69,7 +70,7 @@
   }
   learnt.mAnswerBytes +=
     kWorkGain * (static_cast<double>(aEnd.mBytes) - learnt.mAnswerBytes);
-  // A single straggler must not double an estimate.
+  // A single slow answer must not double an estimate.
   const double ratio = std::min(took / learnt.mWork, kMostRatio);
   const bool told =
     aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kFreshReport;
@@ -104,15 +105,15 @@
   Forget(aState, aRequest.mId);
 }
 
-// True when the end says for certain that the target did not run the request.
+// True when it is certain that the target did not run the request.
 bool DidNotRun(const AttemptEnd& aEnd)
 {
   return aEnd.mKind == EndKind::NotSent ||
          (aEnd.mKind == EndKind::Answered && aEnd.mNotRun);
 }
 
-// What stands in for an answer of the target may name none: only a success
-// tells that there is no limit.
+// Only a success without a limit shows that there is no limit: an error
+// generated on behalf of the target need not state one.
 void NoteLimit(State& aState,
                Micros aNow,
                Target& aTarget,
--- a/src/dispatch/extra.cpp
+++ b/src/dispatch/extra.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Parts of a window that are counted apart; one more than fits is kept, so
-/// that every span of the window's length is bounded.
+/// Slices per window. One more slice than fits is kept, so that every interval
+/// of the window's length is bounded.
 constexpr int kSlices = 10;
-/// Share of the bound that is spent: hosts know each other's number only as of
-/// their last report, and requests are unevenly spread.
+/// Share of the bound that is spent: hosts know each other's request counts
+/// only as of their last report, and requests are unevenly distributed.
 constexpr double kSpent = 0.7;
 
 ExtraWindow::Slice& Current(ExtraWindow& aWindow, Micros aLength, Micros aNow)
--- a/src/dispatch/facts.cpp
+++ b/src/dispatch/facts.cpp
@@ -1,6 +1,6 @@
 #include "internal.h"
 
-// What other hosts tell of requests and targets.
+// Dispatches facts about requests and targets received from other hosts.
 namespace geraniumpond::dispatch {
 
 void TakeGossip(State& aState,
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -2,91 +2,97 @@
 
 #include <geraniumpond/dispatch.h>
 
-/// \brief Steps that the dispatch sources share.
+/// \brief Functions shared by the dispatch sources.
 namespace geraniumpond::dispatch {
 
-/// \brief Fewest and most targets asked for their load before a request is
-/// sent; between them as many as find an idle one nearly always.
+/// \brief Minimum and maximum number of targets probed for their load before a
+/// request is sent; four to eight nearly always include an idle one.
 constexpr std::size_t kAskMin = 4;
 constexpr std::size_t kAskMax = 8;
-/// \brief Rounds of asking before a request waits or takes what there is.
+/// \brief Rounds of probes before a request waits or takes the best known
+/// target.
 constexpr int kAskRounds = 2;
-/// \brief A report this young still tells the load; a few trips between data
-/// centres old.
+/// \brief Maximum age of a report that still reflects the current load: a few
+/// round trips between data centres.
 constexpr Micros kFreshReport = 40 * kMillisecond;
-/// \brief Bounds on how long an asked target is waited for.
+/// \brief Bounds on the time to wait for a probe's answer.
 constexpr Micros kAskPatienceMin = 10 * kMillisecond;
 constexpr Micros kAskPatienceMax = 100 * kMillisecond;
-/// \brief Pause before a request that found no free target looks again: a
-/// small part of the shortest work.
+/// \brief Delay before a request that found no free target is checked again: a
+/// small part of the shortest service times.
 constexpr Micros kLookAgain = 15 * kMillisecond;
 
-/// \brief Reports of up to this slowness tell of a target that works as usual.
+/// \brief A target with up to this slowness counts as working at its usual
+/// speed.
 constexpr double kUsualSlowness = 1.5;
 
-// --- cost.cpp: what a choice of target comes to
+// --- cost.cpp: estimated cost of a target
 
-/// \brief What a request needs of its target.
+/// \brief What a request requires of its target.
 struct Need
 {
   Micros mWork = 0;
   double mAnswerBytes = 0;
   std::string_view mDataCentre;
-  /// What is learnt of its service; never null.
+  /// Learnt statistics of its service; never null.
   const Service* mService = nullptr;
 };
 
 [[nodiscard]] bool IsFresh(const Target& aTarget, Micros aNow) noexcept;
 [[nodiscard]] int Slots(const Target& aTarget) noexcept;
-/// \brief Requests at a target, own ones sent since its report included.
+/// \brief Requests at a target, including this host's own sent since its
+/// report.
 [[nodiscard]] int Occupancy(const Target& aTarget, Micros aNow) noexcept;
 [[nodiscard]] bool HasFreeSlot(const Target& aTarget, Micros aNow) noexcept;
-/// \brief Time until an answer, waiting at the target included.
+/// \brief Expected time until an answer, including queueing at the target.
 [[nodiscard]] Micros ExpectedTime(const Target& aTarget,
                                   const Need& aNeed,
                                   Micros aNow) noexcept;
-/// \brief True when one more request leaves a target where it does most work.
+/// \brief True when the target can take one more request without exceeding its
+/// most efficient concurrency.
 [[nodiscard]] bool IsUncrowded(const Target& aTarget,
                                const LoadCurve& aCurve,
                                Micros aNow) noexcept;
-/// \brief True when a report tells of a target that works as usual and would
-/// not be crowded by one more request.
+/// \brief True when a report shows usual speed and spare capacity for one more
+/// request.
 [[nodiscard]] bool TellsOfRoom(const Report& aReport,
                                const LoadCurve& aCurve) noexcept;
-/// \brief What a choice is ranked by: the expected time, made dearer for
-/// targets that fail, and for answers that cross between data centres.
+/// \brief Cost by which targets are ranked: the expected time, increased for
+/// targets that fail and for answers that cross between data centres.
 [[nodiscard]] double CostOf(const Target& aTarget,
                             const Need& aNeed,
                             Micros aNow) noexcept;
 [[nodiscard]] double FailureShare(const Target& aTarget, Micros aNow) noexcept;
 void NoteResult(Target& aTarget, bool aFailed, Micros aNow) noexcept;
 
-/// \brief Bytes of an answer that take a noticeable time on the own link; 0 for
-/// a small answer.
+/// \brief Bytes of an answer that take a noticeable time on the host's link; 0
+/// for a small answer.
 [[nodiscard]] double LargeBytes(const State& aState,
                                 const Need& aNeed) noexcept;
-/// \brief False while other large answers on their way fill the own link.
+/// \brief False while other large answers in transfer fill the host's link.
 [[nodiscard]] bool FitsLink(const State& aState, const Need& aNeed) noexcept;
 
-// --- extra.cpp: the budget of arrivals beyond the first
+// --- extra.cpp: the budget of extra attempts
 void CountRequest(ExtraWindow& aWindow, const Bounds& aBounds, Micros aNow);
-/// \brief Takes one extra arrival out of this host's share, if there is one.
+/// \brief Takes one extra attempt from this host's share of the budget; false
+/// when it is spent.
 [[nodiscard]] bool TakeExtra(const State& aState,
                              ExtraWindow& aWindow,
                              Micros aNow);
 
-// --- asking.cpp: reports of load at the moment of choice
-/// \brief Asks targets for a request; true when any answer is waited for.
+// --- asking.cpp: load probes before a choice
+/// \brief Probes candidate targets for a request; true when any answer is
+/// awaited.
 bool Ask(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
 void Probe(State& aState, Micros aNow, Target& aTarget, Effects& aOut);
-/// \brief Asks the targets that work on a request how they are.
+/// \brief Probes the targets that are running attempts of a request.
 void AskRunning(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
 void Suspect(State& aState,
              Micros aNow,
              Target& aTarget,
              const char* aWhy,
              Effects& aOut);
-/// \brief Takes what a target says of its load.
+/// \brief Records a target's load report.
 void TakeReport(Service& aService,
                 Target& aTarget,
                 const Report& aReport,
@@ -97,27 +103,29 @@
 // --- choosing.cpp: which target a request goes to; more in choice.h
 [[nodiscard]] Need NeedOf(const State& aState, const Request& aRequest);
 
-// --- waiting.cpp: requests that wait for a target
+// --- waiting.cpp: the queue of requests that wait for a target
 void Pump(State& aState,
           Micros aNow,
           const std::string& aService,
           Effects& aOut);
 void StartWaiting(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
 void StopWaiting(State& aState, Request& aRequest);
-/// \brief Time until a newcomer of this rank would be sent.
+/// \brief Expected queueing time of a new request of this priority and
+/// deadline.
 [[nodiscard]] Micros ExpectedWait(const Service& aService,
                                   const Request& aRequest);
-/// \brief When a refused client should come back.
+/// \brief Delay after which a refused client should retry.
 [[nodiscard]] Micros RetryAfter(State& aState, Micros aExpectedWait);
 
-// --- crashes.cpp: targets that end, and the requests that they had
+// --- crashes.cpp: targets that end, and the requests they were running
 void NoteBroken(State& aState,
                 Micros aNow,
                 const Request& aRequest,
                 const Attempt& aAttempt,
                 const AttemptEnd& aEnd,
                 Effects& aOut);
-/// \brief The target's address refuses, or is another one's now.
+/// \brief The target's address refuses connections, or another target uses it
+/// now.
 void NoteTargetEnded(State& aState,
                      Micros aNow,
                      Target& aTarget,
@@ -127,73 +135,76 @@
                      Micros aNow,
                      Target& aTarget,
                      Effects& aOut);
-/// \brief Asks again where answers broke after the last probe was sent; true
-/// when it does.
+/// \brief Probes again when answers broke after the last probe was sent; true
+/// when it did.
 bool AskAboutOpenEnds(State& aState,
                       Micros aNow,
                       Target& aTarget,
                       Effects& aOut);
-/// \brief A target has answered a request.
+/// \brief Records that a target answered this request.
 void NoteAnswered(State& aState,
                   Micros aNow,
                   std::uint64_t aIdentity,
                   Effects& aOut);
-/// \brief A quarantined request was refused.
+/// \brief Renews the quarantine of a request that was submitted again and
+/// refused.
 void NoteTried(State& aState,
                Micros aNow,
                std::uint64_t aIdentity,
                Effects& aOut);
-/// \brief Another host tells of a target that ended under a request.
+/// \brief Handles another host's report of a target that ended under a request.
 void TakeCrashFact(State& aState,
                    Micros aNow,
                    const gossip::Item& aItem,
                    Effects& aOut);
-/// \brief Another host tells that a request was answered, or let go.
+/// \brief Handles another host's report that a request was answered or released
+/// by an operator.
 void TakeAnswerFact(State& aState, const gossip::Item& aItem);
 [[nodiscard]] quarantine::Verdict JudgeRequest(const State& aState,
                                                std::uint64_t aIdentity,
                                                const std::string& aService,
                                                Micros aNow);
 
-// --- limits.cpp: rates that targets name for all hosts together
-/// \brief An answer names a limit, or what is none.
+// --- limits.cpp: request rates that targets state for all hosts together
+/// \brief Handles a stated limit in an answer, readable or not.
 void TakeLimit(State& aState,
                Micros aNow,
                Target& aTarget,
                const LimitWord& aWord,
                Effects& aOut);
-/// \brief A request that was sent at `aSentAt` succeeded, and its answer names
-/// no limit.
+/// \brief Handles a successful answer without a limit to a request sent at
+/// `aSentAt`.
 void TakeNoLimit(State& aState,
                  Micros aNow,
                  Target& aTarget,
                  Micros aSentAt,
                  Effects& aOut);
-/// \brief Another host tells of a limit, or of its end.
+/// \brief Handles another host's report of a limit, or of its end.
 void TakeLimitFact(State& aState,
                    Micros aNow,
                    const gossip::Item& aItem,
                    Effects& aOut);
-/// \brief Takes what was told of a target before it was known.
+/// \brief Applies a limit that was reported before the target was known.
 void TakeEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut);
-/// \brief True unless its limit leaves no room for a request of this host now.
+/// \brief True unless this host's share of the limit is used up now.
 [[nodiscard]] bool HasRoomInLimit(const Target& aTarget, Micros aNow) noexcept;
-/// \brief True unless this host holds no part of its limit.
+/// \brief True unless the target has a limit of which this host has no share.
 [[nodiscard]] bool MayEverTake(const Target& aTarget) noexcept;
 
-// --- learning.cpp: what answers and reports tell of a service
-/// \brief How many times as long work takes that starts beside so many others.
+// --- learning.cpp: statistics from answers and reports
+/// \brief Factor by which work takes longer when it starts beside `aOccupancy`
+/// other requests.
 [[nodiscard]] double StretchAt(const LoadCurve& aCurve,
                                int aOccupancy,
                                int aSlots) noexcept;
-/// \brief Requests at a target with which it does most work in a time.
+/// \brief Number of concurrent requests that gives the highest throughput.
 [[nodiscard]] int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept;
-/// \brief Takes the time of one answer over the usual time of its work.
+/// \brief Records the time of one answer relative to the usual service time.
 void LearnStretch(LoadCurve& aCurve,
                   int aOccupancy,
                   int aSlots,
                   double aRatio) noexcept;
-/// \brief Takes two reports of one target, `aGap` apart.
+/// \brief Learns from two reports of one target, `aGap` apart.
 void LearnSpeed(SpeedStatistics& aLearnt,
                 const Report& aBefore,
                 Micros aGap,
@@ -201,19 +212,21 @@
 /// \brief Mean time for which a target keeps its speed.
 [[nodiscard]] double SpeedTime(const SpeedStatistics& aLearnt) noexcept;
 
-// --- unrouted.cpp: requests that come before the first policy
-/// \brief Lets a request wait for the first policy, or refuses it.
+// --- unrouted.cpp: requests that arrive before the first policy
+/// \brief Queues a request until the first policy arrives, or refuses it.
 void HoldUnrouted(State& aState,
                   Micros aNow,
                   const Arrival& aArrival,
                   Effects& aOut);
-/// \brief Refuses a request for which the policy has no route.
+/// \brief Refuses a request that matches no route of the policy.
 void RefuseUnknownRoute(State& aState, const Arrival& aArrival, Effects& aOut);
 void ExpireUnrouted(State& aState, Micros aNow, Effects& aOut);
 [[nodiscard]] Micros NextUnroutedTime(const State& aState) noexcept;
 
-// --- returning.cpp: later tries of clients
-/// \brief True when a client has waited longer than its route's objective.
+// --- returning.cpp: retries by clients
+/// \brief True when a request's remaining client timeout shows that it is a
+/// retry: its client has already waited longer than the route's latency
+/// objective.
 [[nodiscard]] bool IsReturn(const PatienceStatistics& aLearnt,
                             Micros aPatience,
                             Micros aObjective) noexcept;
@@ -221,14 +234,14 @@
                    Micros aPatience,
                    Micros aObjective) noexcept;
 
-// --- requests.cpp: one request's steps
-/// \brief Finds a request's route and lets it wait for a target.
+// --- requests.cpp: the steps of one request
+/// \brief Routes a request and queues it for a target.
 void Admit(State& aState,
            Micros aNow,
            Micros aArrivedAt,
            const Arrival& aArrival,
            Effects& aOut);
-/// \brief Answers a request here that has not been admitted.
+/// \brief Refuses a request that has not been admitted.
 void RefuseArrival(State& aState,
                    const Arrival& aArrival,
                    int aStatus,
@@ -240,7 +253,7 @@
             Request& aRequest,
             Target& aTarget,
             Effects& aOut);
-/// \brief Answers a request here and forgets it.
+/// \brief Refuses an admitted request and removes it.
 void Refuse(State& aState,
             Micros aNow,
             std::uint64_t aRequest,
@@ -252,13 +265,14 @@
 void Forget(State& aState, std::uint64_t aRequest);
 void SetTimer(State& aState, Request& aRequest);
 void Fire(State& aState, Micros aNow, std::uint64_t aRequest, Effects& aOut);
-/// \brief An attempt of the request is over; what comes next follows.
+/// \brief Retries a request on another target after its attempt ended, or
+/// refuses it.
 void TryElsewhere(State& aState,
                   Micros aNow,
                   Request& aRequest,
                   const std::string& aWhy,
                   Effects& aOut);
-/// \brief A request as log lines have it.
+/// \brief Fields that describe a request in log lines.
 [[nodiscard]] std::string Describe(const State& aState,
                                    const Request& aRequest,
                                    Micros aNow);
--- a/src/dispatch/learning.cpp
+++ b/src/dispatch/learning.cpp
@@ -3,35 +3,38 @@
 #include <algorithm>
 #include <cmath>
 
-// What a host learns of a service's targets from their answers and reports. No
-// figure of a deployment stands here: start values count until some twenty
-// answers have come, and what has changed is left behind within seconds.
+// Statistics that a host learns of a service's targets from their answers and
+// reports. Nothing is tuned to one deployment: initial values matter until
+// about twenty answers have arrived, and old observations lose their weight
+// within seconds.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Smoothing of what is learnt: some twenty samples.
+/// Smoothing gain: about twenty samples.
 constexpr double kLearnGain = 0.05;
-/// A single straggler must not move an estimate by more than this factor.
+/// A single slow answer must not move an estimate by more than this factor.
 constexpr double kMostStretch = 4;
-/// A limit below all slots must do this much more work: less is within the
-/// error of what was learnt from twenty answers.
+/// A concurrency below all slots must give this much more throughput: a smaller
+/// gain is within the error of an estimate from twenty answers.
 constexpr double kClearGain = 1.05;
-/// What filling a target is taken for before answers tell: between targets that
-/// do not care and such that lose by it. It counts as much as so many answers.
+/// Latency factor assumed for a full target before answers are known: between
+/// targets that are unaffected by load and those that slow down. It weighs as
+/// much as this many answers.
 constexpr double kFirstStretch = 1.3;
 constexpr int kFirstWeight = 2;
-/// A report this much off the last one tells of another speed.
+/// Ratio of two reported slownesses from which on the speed counts as changed.
 constexpr double kOtherSpeed = 1.2;
-/// Speeds are assumed to hold for this time until changes were seen; a host
-/// sees some hundred pairs of reports in a second.
+/// Speeds are assumed to last this long until changes are observed; a host sees
+/// about a hundred pairs of reports a second.
 constexpr double kFirstSpeedTime = 400.0 * kMillisecond;
 /// Reports further apart may hide changes in between.
 constexpr Micros kWatchedGap = 1 * kSecond;
-/// Watched time that is kept: speeds of the last seconds count.
+/// Observed time that is kept: speeds of the last seconds count.
 constexpr double kWatchedTime = 60.0 * kSecond;
 
-// The last slot is never taken for a loss before answers tell that it is one.
+// Until answers show it, using the last slot is never assumed to reduce
+// throughput.
 double FirstStretch(int aOccupancy, int aSlots) noexcept
 {
   const bool fills = aOccupancy > 0 && aOccupancy + 1 >= aSlots;
@@ -65,8 +68,8 @@
   return std::max(1.0, stretch);
 }
 
-// The targets' own queues have no part in it: a request that waits there works
-// with all slots taken.
+// Queueing at the target is not included: a request queued there is later run
+// with all slots occupied.
 int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept
 {
   const double all = aSlots / StretchAt(aCurve, aSlots - 1, aSlots);
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -5,15 +5,15 @@
 #include <cmath>
 #include <cstdio>
 
-// A target in need names a rate that it takes from all hosts together, in each
-// of its answers for as long as it is in need. Hosts tell each other, and
-// divide it: each way to the target goes through SendTo(), which takes of the
-// part.
+// An overloaded target states a request rate that it accepts from all hosts
+// together, in each of its answers for as long as it is overloaded. Hosts share
+// the value by gossip and divide the rate among themselves. Every request to
+// the target passes through SendTo(), which charges this host's share.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A rate that differs by less than this share is not told to other hosts.
+/// A rate that differs by less than this share is not treated as a change.
 constexpr double kSameRate = 0.05;
 
 std::string RateText(double aPerSecond)
@@ -103,7 +103,8 @@
   TellLimit(aTarget, aOut);
 }
 
-// An answer to what was sent before the limit was named may be older.
+// An answer to a request that was sent before the limit was stated may predate
+// the limit.
 void TakeNoLimit(State& aState,
                  Micros aNow,
                  Target& aTarget,
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// After this many times the expected time a request's target is asked how it
-/// is: about one in six takes so long by chance, and asking costs little.
+/// A hedge is considered after this many times the expected time: about one in
+/// six requests takes that long by chance, and a probe is cheap.
 constexpr double kSecondLook = 1.25;
 constexpr Micros kHedgeMin = 30 * kMillisecond;
-/// Targets that could not be reached before a request is given up.
+/// Connection failures after which a request is given up.
 constexpr int kMaxUnreached = 4;
-/// An estimate of the work that refuses all requests counts for this long.
+/// Lifetime of a service-time estimate that causes all requests to be refused.
 constexpr Micros kWorkTrusted = 1 * kSecond;
-/// Smoothing of the pace of dispatches.
+/// Smoothing gain of the interval between dispatches.
 constexpr double kIntervalGain = 0.2;
 constexpr int kUnavailable = 503;
 constexpr int kBadGateway = 502;
@@ -35,7 +35,8 @@
   return " target=" + aAttempt.mTarget + load;
 }
 
-// The pace of dispatches tells how fast a queue moves only while there is one.
+// The interval between dispatches reflects the queue's speed only while
+// requests are queued.
 void NoteDispatch(Service& aService, Micros aNow)
 {
   const bool busy = !aService.mWaiting.empty();
@@ -70,8 +71,9 @@
   Refuse(aState, aNow, aRequest.mId, kGatewayTimeout, 0, "deadline", aOut);
 }
 
-// An estimate that leaves no request enough time lets none through that could
-// correct it: where no answer has confirmed it for a while, it is learnt anew.
+// A service-time estimate that exceeds every deadline lets no request through
+// that could correct it. It is reset when no answer has confirmed it for
+// kWorkTrusted.
 void ForgetHopelessWork(State& aState, Micros aNow, const Request& aRequest)
 {
   RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
@@ -188,8 +190,8 @@
         " retry_after_ms=" + Milliseconds(aRetryAfter));
   ++aState.mCounters["replies_" + std::to_string(aStatus) + "_" + aReason];
   aOut.emplace_back(ReplyToClient{ aRequest, aStatus, aRetryAfter, aReason });
-  // What cannot be repeated runs to its end: a broken connection would leave
-  // its target with work that nobody can tell the result of.
+  // A non-idempotent attempt runs to its end: closing its connection would
+  // leave the target with work whose result is never known.
   if (!policy::IsIdempotent(request.mKind) && !request.mAttempts.empty()) {
     StopWaiting(aState, request);
     request.mDetached = true;
@@ -343,8 +345,8 @@
   }
   PatienceStatistics& patience = aState.mStatistics[route->mName].mPatience;
   if (IsReturn(patience, aArrival.mPatience, route->mObjective)) {
-    // Its objective passed before it came: it must not take the room of those
-    // that can be in time.
+    // Its latency objective passed before this try: it must not take capacity
+    // from requests that can still be on time.
     request.mObjectiveAt = aArrivedAt;
     ++aState.mCounters["returns_seen"];
   }
@@ -362,8 +364,7 @@
     verdict == quarantine::Verdict::OnTrial &&
     !rate_share::IsFirst(aState.mSharers, Hexadecimal(request.mIdentity));
   if (verdict == quarantine::Verdict::Quarantined || elsewhere) {
-    // It will not be served in its client's time: nothing is said of coming
-    // back.
+    // The quarantine outlasts the client's timeout, so no Retry-After is given.
     NoteTried(aState, aNow, request.mIdentity, aOut);
     RefuseArrival(aState, aArrival, kUnavailable, 0, "quarantined", aOut);
     return;
--- a/src/dispatch/returning.cpp
+++ b/src/dispatch/returning.cpp
@@ -3,20 +3,24 @@
 #include <algorithm>
 #include <cmath>
 
-// Which requests are a client's later tries. Their objective counts from the
-// first try, which a host cannot see; but a client says how long it still
-// waits, and one that has waited already says less than others on its route.
+// Detects requests that are a client's retries. Their objective counts from the
+// first try, which a host does not see. But clients state their remaining
+// timeout, and a client that has already waited states less than others on its
+// route.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Smoothing of what is learnt of a route's first tries: some twenty requests.
+/// Smoothing gain of the statistics of a route's first tries: about twenty
+/// requests.
 constexpr double kPatienceGain = 0.05;
-/// A return lies this many mean deviations below the mean of first tries: as
-/// far below the least of evenly spread ones as that lies below the mean.
+/// A retry's timeout lies this many mean deviations below the mean of first
+/// tries. For a uniform distribution that is as far below its minimum as the
+/// minimum is below the mean.
 constexpr double kApart = 4;
-/// Smoothing of the share of returns, and the share from which on clients have
-/// changed their ways: each return follows a first try.
+/// Smoothing gain of the share of retries, and the share above which clients
+/// are assumed to have changed their timeouts: normally each retry follows a
+/// first try.
 constexpr double kReturnGain = 0.02;
 constexpr double kChangedShare = 0.6;
 
@@ -56,7 +60,7 @@
   const double gain = std::max(kPatienceGain, 1.0 / aLearnt.mSeen);
   const double off = static_cast<double>(aPatience) - aLearnt.mMean;
   aLearnt.mMean += gain * off;
-  // The first one tells of no deviation.
+  // A single sample has no deviation.
   const double deviation = aLearnt.mSeen > 1 ? std::abs(off) : 0;
   aLearnt.mDeviation += gain * (deviation - aLearnt.mDeviation);
 }
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -8,30 +8,31 @@
 
 namespace {
 
-/// Targets that are added together beyond this number share a log line.
+/// Above this number, targets that are added together share one log line.
 constexpr std::size_t kBulk = 8;
 /// Share of the probe bound that is spent: hosts come and go faster than they
-/// hear of each other.
+/// learn of each other.
 constexpr double kProbeShare = 0.8;
-/// Probes that may be saved up, in seconds of the steady rate.
+/// Burst of the probe budget, in seconds of the steady rate.
 constexpr double kProbeBurstSeconds = 3;
-/// Smoothing of the share of targets with room: some ten requests' probes.
+/// Smoothing gain of the share of targets with spare capacity: about the probes
+/// of ten requests.
 constexpr double kRoomGain = 0.02;
-/// Newcomers are met after this pause, by hosts whose subsets hold them still:
-/// while a deployment starts, subsets change with each announcement.
+/// Delay before a new target is probed, and then only if it is still in the
+/// subset: during a rollout subsets change with each announcement.
 constexpr Micros kMeetPause = 2 * kSecond;
-/// A target that calls itself ill is asked again after this time.
+/// Delay before a probe that exceeded the budget is tried again.
 constexpr Micros kIllPause = 500 * kMillisecond;
 
-/// Targets of a service that one host keeps connections to, and how many of
-/// them lie in other data centres. Each request asks five: twice as many leave
-/// a choice when some are slow, and are still met often enough to stay
+/// Targets of a service to which one host keeps connections, and how many of
+/// them are in other data centres. Each request probes five: twice as many
+/// leave a choice when some are slow, and are still used often enough to stay
 /// connected.
 constexpr std::size_t kSubset = 12;
 constexpr std::size_t kSubsetAway = 3;
 
-// Rendezvous hashing: every target is in the subsets of about as many hosts,
-// and few subsets change when a host or a target comes or goes.
+// Rendezvous hashing: every target is in the subsets of about the same number
+// of hosts, and few subsets change when a host or target is added or removed.
 void ChooseSubset(State& aState, Service& aService)
 {
   aService.mSubset = aService.mTargets;
@@ -66,8 +67,8 @@
   budget::TokenBucket& bucket = aState.mProbeBudget;
   (void)budget::Take(bucket, aNow, 0);
   const double burst = std::max(1.0, kProbeBurstSeconds * rate);
-  // What a larger bucket can hold more is there at once: the first requests
-  // need their answers most.
+  // The tokens that a larger bucket gains are available at once: the first
+  // requests need their probes most.
   bucket.mLevel += std::max(0.0, burst - bucket.mBurst);
   bucket.mLevel = std::min(bucket.mLevel, burst);
   bucket.mPerSecond = rate;
@@ -87,8 +88,8 @@
   aState.mTargets.erase(aId);
 }
 
-// An id may be used again by a later start; without a time of birth the id is
-// the incarnation.
+// An id may be reused by a later start of the target. Without a start time the
+// id alone identifies the incarnation.
 std::string IncarnationOf(const wire::TargetRecord& aRecord)
 {
   return aRecord.born_ms() == 0
@@ -123,12 +124,11 @@
   TakeEarlyLimit(aState, aNow, target, aOut);
 }
 
-// The first probe opens a connection and learns whether a target tells its
-// load; targets outside of the subset are met when they are needed.
+// The first probe opens a connection and learns whether a target reports its
+// load. Targets outside the subset are probed only when they are needed.
 void ProbeNewcomers(State& aState, Micros aNow, const Service& aService)
 {
-  // Nothing is known of a service that no policy names, its health path
-  // neither.
+  // A service that no policy names has no known health path.
   if (!aState.mPolicy || aState.mPolicy->mServices.count(aService.mName) == 0) {
     return;
   }
@@ -193,7 +193,7 @@
     service.mName = name;
     service.mHealthPath = rules.mHealthPath;
   }
-  // What is known of a service without rules is its name alone.
+  // A service without rules uses the default health path.
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
       service.mHealthPath = policy::ServiceRules().mHealthPath;
@@ -228,7 +228,7 @@
       fresh.push_back(&record);
     }
   }
-  // A host that starts learns of all targets at once; one line tells of them.
+  // A starting host learns of all targets at once and logs them in one line.
   const bool bulk = fresh.size() > kBulk;
   if (bulk) {
     Log(aOut, 1, "event=targets_added count=" + std::to_string(fresh.size()));
@@ -306,7 +306,8 @@
     }
   }
   if (aEnd.mAnswered && !other) {
-    // A target may name its limit to requests alone: silence says nothing.
+    // A target may state its limit only in answers to requests, so a probe
+    // without a limit says nothing.
     if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
       TakeLimit(aState, aNow, target, aEnd.mLimit, aOut);
     }
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -4,18 +4,19 @@
 #include <limits>
 #include <utility>
 
-// Requests that come while a host starts. After a loss of all hosts clients are
-// back before the group has a leader: one that is refused returns after a third
-// of its time and is late, one that waits a little is mostly in time.
+// Requests that arrive while a host starts. After an outage of all hosts,
+// clients reconnect before the control group has a leader. A refused client
+// retries after a third of its time and is late; one whose request is queued
+// briefly is usually on time.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Share of its time that a request waits for the first policy: what is left is
-/// enough for its work, or for its client to come back.
+/// Share of its time that a request waits for the first policy; the rest
+/// suffices for its work, or for its client to retry.
 constexpr double kHeldShare = 0.25;
-/// When a refused client should come back: a host that starts has its policy a
-/// few tenths of a second later.
+/// Retry delay for refused clients: a starting host has its policy a few tenths
+/// of a second later.
 constexpr Micros kStartingRetry = 200 * kMillisecond;
 constexpr Micros kNoPolicyRetry = 500 * kMillisecond;
 
@@ -36,7 +37,7 @@
   aState.mUnrouted[aArrival.mId] = { aArrival, aNow, giveUpAt };
 }
 
-// 404 says that there is no such route, and clients do not come back.
+// A 404 states that the route does not exist, and clients do not retry it.
 void RefuseUnknownRoute(State& aState, const Arrival& aArrival, Effects& aOut)
 {
   if (aState.mMayBeBehind) {
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -2,24 +2,25 @@
 
 #include <algorithm>
 
-// Requests that wait for a target: when each is looked at, sent or refused.
+// The queue of requests that wait for a target: when each is checked, sent or
+// refused.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A late request looks for room this many times less often than others.
+/// Late requests check for capacity this many times less often than others.
 constexpr Micros kLatePause = 12;
-/// A target has become slow when its work takes this many times as long as it
-/// did at the choice.
+/// A target counts as slowed down when its slowness reaches this many times the
+/// value at the choice.
 constexpr double kSlowedDown = 1.8;
-/// After this many times the expected time a target counts as stuck whatever
-/// it says of itself.
+/// After this many times the expected time a target counts as stuck, whatever
+/// it reports.
 constexpr Micros kOverdue = 3;
-/// A waiting request looks for a free target this many times in the time of
-/// its work: each look costs probes.
+/// A waiting request checks for a free target this many times per service time:
+/// each check costs probes.
 constexpr Micros kLooksPerWork = 10;
-/// A refused client comes back after about this part of the time that it has
-/// left, so that as much is left for its work.
+/// A refused client retries after this fraction (1/n) of the time that it has
+/// left, so that enough is left for the work.
 constexpr Micros kReturnShare = 3;
 
 bool IsAsking(const State& aState, const Request& aRequest, Micros aNow)
@@ -36,8 +37,9 @@
                      });
 }
 
-// Targets whose report is fresh. A service may have a thousand, and each
-// waiting request is looked at whenever one answers.
+// Targets with a fresh report. Only recent reporters are scanned, because a
+// service may have a thousand targets and the queue is processed whenever one
+// answers.
 std::vector<Target*> FreshTargets(State& aState, Service& aService, Micros aNow)
 {
   std::vector<Target*> fresh;
@@ -61,15 +63,15 @@
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
   const Micros pause =
     std::max(kLookAgain, aNeed.mWork / kLooksPerWork) * (late ? kLatePause : 1);
-  // The last look comes in time for a refusal that leaves time to come back.
+  // The last check must come early enough that a refused client has time to
+  // retry.
   const Micros giveUpAt = GiveUpAt(aRequest, aNeed);
   aRequest.mLookAgainAt =
     aNow < giveUpAt ? std::min(aNow + pause, giveUpAt) : aNow + pause;
   SetTimer(aState, aRequest);
 }
 
-// The first attempt still works: a second one starts only where a target is
-// free now.
+// The first attempt continues; a hedge starts only if a target is free now.
 void StopHedging(State& aState, Micros aNow, Request& aRequest)
 {
   StopWaiting(aState, aRequest);
@@ -79,8 +81,8 @@
   SetTimer(aState, aRequest);
 }
 
-// Targets change their speed while they work. One that answers and is as fast
-// as it was has a long piece of work: a second attempt would not end sooner.
+// Targets change their speed during an attempt. One that answers probes and is
+// as fast as before has a long request: a hedge would not finish sooner.
 bool LooksStuck(const State& aState, const Request& aRequest, Micros aNow)
 {
   return std::any_of(
@@ -142,13 +144,14 @@
   SendTo(aState, aNow, aRequest, aTarget, aOut);
 }
 
-// In time it cannot be any more: it comes back when others may have gone.
+// The request cannot be on time any more: its client retries when the load may
+// have dropped.
 Micros ReturnTime(const Request& aRequest, Micros aNow)
 {
   return (aRequest.mDeadline - aNow) / kReturnShare;
 }
 
-// One waiting request: sent, refused, or left to wait.
+// Sends, refuses or keeps one waiting request.
 void Serve(State& aState,
            Micros aNow,
            Look& aLook,
@@ -206,7 +209,7 @@
   }
 }
 
-// Requests of a route with the same objective.
+// True for requests of one route with the same latency objective.
 bool NeedTheSame(const Request& aLeft, const Request& aRight)
 {
   return aLeft.mObjectiveAt - aLeft.mArrivedAt ==
@@ -227,7 +230,7 @@
 
 Micros RetryAfter(State& aState, Micros aExpectedWait)
 {
-  // Clients that were refused together must not come back together.
+  // Random jitter: clients that were refused together must not retry together.
   constexpr Micros kLeast = 100 * kMillisecond;
   const Micros middle = std::max(kLeast, aExpectedWait);
   return middle / 2 +
@@ -266,9 +269,8 @@
   if (service == aState.mServices.end()) {
     return;
   }
-  // Requests that can still meet their objective go first. In order of
-  // deadlines alone, an overload would make every request wait until its
-  // objective is lost.
+  // Requests that can still meet their objective go first. In deadline order
+  // alone, an overload would delay every request past its objective.
   std::vector<std::pair<std::uint64_t, Need>> order;
   std::vector<std::pair<std::uint64_t, Need>> late;
   const Request* last = nullptr;
