--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -88,13 +88,13 @@
 
   Micros mProbeSentAt = 0;
   bool mProbing = false;
-  Micros mProbeTime = 3 * kMillisecond;
+  Micros mProbeRoundTrip = 3 * kMillisecond;
 
   /// Consecutive failures to reach it.
   int mUnreached = 0;
-  /// Gets no requests until a probe succeeds at mProbeAgainAt or later.
+  /// Gets no requests until a probe succeeds at mNextProbeAt or later.
   bool mSuspect = false;
-  Micros mProbeAgainAt = 0;
+  Micros mNextProbeAt = 0;
   /// Smoothed share of requests that failed there, as of mFailedAt.
   double mFailureShare = 0;
   Micros mFailedAt = 0;
@@ -255,9 +255,9 @@
   Micros mDeadline = 0;
 
   bool mWaiting = false;
-  int mAskRound = 0;
-  std::set<std::string> mAsked;
-  Micros mAskedUntil = 0;
+  int mProbeRound = 0;
+  std::set<std::string> mProbed;
+  Micros mProbesAwaitedUntil = 0;
   Micros mLookAgainAt = 0;
 
   std::vector<Attempt> mAttempts;
--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -9,13 +9,13 @@
 
 /// Delay before an unreachable target is probed again; doubles with each
 /// consecutive failure.
-constexpr Micros kProbeAgainMin = 200 * kMillisecond;
-constexpr Micros kProbeAgainMax = 1600 * kMillisecond;
+constexpr Micros kMinProbeRetryDelay = 200 * kMillisecond;
+constexpr Micros kMaxProbeRetryDelay = 1600 * kMillisecond;
 /// Accepted probability that the first round of probes finds no target with
 /// spare capacity; a second round costs a round trip.
-constexpr double kMissed = 0.02;
+constexpr double kMaxMissShare = 0.02;
 /// Targets with a request-rate limit that are probed before others.
-constexpr std::size_t kHeldAsked = 2;
+constexpr std::size_t kLimitedTargetsProbed = 2;
 
 std::vector<Target*> Usable(State& aState,
                             Micros aNow,
@@ -27,7 +27,7 @@
   for (const std::string& id : aIds) {
     Target& target = aState.mTargets[id];
     if (target.mSuspect == aSuspects && HasRoomInLimit(target, aNow) &&
-        aRequest.mTried.count(id) == 0 && aRequest.mAsked.count(id) == 0) {
+        aRequest.mTried.count(id) == 0 && aRequest.mProbed.count(id) == 0) {
       usable.push_back(&target);
     }
   }
@@ -55,7 +55,7 @@
     return;
   }
   Shuffle(aState, held);
-  held.resize(std::min(held.size(), kHeldAsked));
+  held.resize(std::min(held.size(), kLimitedTargetsProbed));
   for (Target* target : held) {
     aTargets.erase(std::remove(aTargets.begin(), aTargets.end(), target),
                    aTargets.end());
@@ -73,10 +73,10 @@
   const Service& service = aState.mServices[aRequest.mService];
   std::vector<Target*> all =
     Usable(aState, aNow, aRequest, service.mSubset, false);
-  if (all.empty() && aRequest.mAsked.empty()) {
+  if (all.empty() && aRequest.mProbed.empty()) {
     all = Usable(aState, aNow, aRequest, service.mTargets, false);
   }
-  if (all.empty() && aRequest.mAskRound == 0) {
+  if (all.empty() && aRequest.mProbeRound == 0) {
     all = Usable(aState, aNow, aRequest, service.mTargets, true);
   }
   Shuffle(aState, all);
@@ -90,18 +90,20 @@
   return all;
 }
 
-// Number of probes after which only kMissed of the choices find no target with
-// spare capacity.
-std::size_t WantedAnswers(const Service& aService)
+// Number of probes after which only kMaxMissShare of the choices find no target
+// with spare capacity.
+std::size_t WantedProbes(const Service& aService)
 {
   const double share = std::clamp(aService.mRoomShare, 0.05, 0.95);
-  const double count = std::ceil(std::log(kMissed) / std::log(1 - share));
-  return std::clamp(static_cast<std::size_t>(count), kAskMin, kAskMax);
+  const double count = std::ceil(std::log(kMaxMissShare) / std::log(1 - share));
+  return std::clamp(static_cast<std::size_t>(count), kMinProbes, kMaxProbes);
 }
 
 // Sends fewer probes as the probe budget runs low; the choice then relies on
 // reports already received.
-std::size_t AskCount(const State& aState, const Service& aService, Micros aNow)
+std::size_t ProbeCount(const State& aState,
+                       const Service& aService,
+                       Micros aNow)
 {
   const budget::TokenBucket& bucket = aState.mProbeBudget;
   const double gained =
@@ -109,7 +111,7 @@
   const double level =
     std::min(bucket.mBurst, bucket.mLevel + gained) / bucket.mBurst;
   if (level > 0.3) {
-    return WantedAnswers(aService);
+    return WantedProbes(aService);
   }
   return level > 0.1 ? 3 : 2;
 }
@@ -157,13 +159,16 @@
   ++aTarget.mUnreached;
   aTarget.mSuspect = true;
   const int doublings = std::min(aTarget.mUnreached - 1, 3);
-  const Micros pause =
-    std::min(kProbeAgainMax, kProbeAgainMin << std::max(0, doublings));
-  aTarget.mProbeAgainAt = aNow + pause;
-  aState.mProbeTimers.emplace(aTarget.mProbeAgainAt, aTarget.mId);
+  const Micros pause = std::min(kMaxProbeRetryDelay,
+                                kMinProbeRetryDelay << std::max(0, doublings));
+  aTarget.mNextProbeAt = aNow + pause;
+  aState.mProbeTimers.emplace(aTarget.mNextProbeAt, aTarget.mId);
 }
 
-bool Ask(State& aState, Micros aNow, Request& aRequest, Effects& aOut)
+bool ProbeCandidates(State& aState,
+                     Micros aNow,
+                     Request& aRequest,
+                     Effects& aOut)
 {
   Service& service = aState.mServices[aRequest.mService];
   if (!service.mTellsLoad) {
@@ -171,8 +176,8 @@
   }
   Micros patience = 0;
   for (Target* target :
-       Candidates(aState, aNow, aRequest, AskCount(aState, service, aNow))) {
-    aRequest.mAsked.insert(target->mId);
+       Candidates(aState, aNow, aRequest, ProbeCount(aState, service, aNow))) {
+    aRequest.mProbed.insert(target->mId);
     if (IsFresh(*target, aNow)) {
       continue;
     }
@@ -185,14 +190,17 @@
     }
     patience = std::max(
       patience,
-      std::clamp(2 * target->mProbeTime, kAskPatienceMin, kAskPatienceMax));
+      std::clamp(2 * target->mProbeRoundTrip, kMinProbeWait, kMaxProbeWait));
   }
-  ++aRequest.mAskRound;
-  aRequest.mAskedUntil = aNow + patience;
+  ++aRequest.mProbeRound;
+  aRequest.mProbesAwaitedUntil = aNow + patience;
   return patience > 0;
 }
 
-void AskRunning(State& aState, Micros aNow, Request& aRequest, Effects& aOut)
+void ProbeRunningTargets(State& aState,
+                         Micros aNow,
+                         Request& aRequest,
+                         Effects& aOut)
 {
   for (const Attempt& attempt : aRequest.mAttempts) {
     const auto found = aState.mTargets.find(attempt.mTarget);
@@ -201,9 +209,9 @@
       continue;
     }
     Probe(aState, aNow, found->second, aOut);
-    aRequest.mAsked.insert(attempt.mTarget);
-    aRequest.mAskedUntil =
-      std::max(aRequest.mAskedUntil, aNow + kAskPatienceMin);
+    aRequest.mProbed.insert(attempt.mTarget);
+    aRequest.mProbesAwaitedUntil =
+      std::max(aRequest.mProbesAwaitedUntil, aNow + kMinProbeWait);
   }
   SetTimer(aState, aRequest);
 }
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -258,7 +258,7 @@
   // A late request gets one round of probes: requests that are on time need the
   // probe budget.
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
-  const bool more = tells && aRequest.mAskRound < (late ? 1 : kAskRounds);
+  const bool more = tells && aRequest.mProbeRound < (late ? 1 : kProbeRounds);
   Target* best = tells
                    ? BestFresh(aLook, aRequest, aNeed, aNow)
                    : Best(AllTargets(aState, service), aRequest, aNeed, aNow);
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -46,7 +46,7 @@
 
 bool IsFresh(const Target& aTarget, Micros aNow) noexcept
 {
-  return aTarget.mReport && aNow - aTarget.mReportAt <= kFreshReport;
+  return aTarget.mReport && aNow - aTarget.mReportAt <= kMaxReportAge;
 }
 
 int Slots(const Target& aTarget) noexcept
@@ -57,7 +57,7 @@
 
 int Occupancy(const Target& aTarget, Micros aNow) noexcept
 {
-  if (!aTarget.mReport || aNow - aTarget.mReportAt > 10 * kFreshReport) {
+  if (!aTarget.mReport || aNow - aTarget.mReportAt > 10 * kMaxReportAge) {
     return aTarget.mRunning;
   }
   const Report& report = *aTarget.mReport;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -97,7 +97,7 @@
 
 // Detecting that a target has ended justifies a probe beyond the budget; the
 // probe is still charged.
-void AskNow(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void ProbeNow(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
   (void)budget::Take(aState.mProbeBudget, aNow, 1);
   Probe(aState, aNow, aTarget, aOut);
@@ -155,7 +155,7 @@
     target.mOpenEnds.push_back({ aRequest.mIdentity, aNow });
   }
   if (!target.mProbing) {
-    AskNow(aState, aNow, target, aOut);
+    ProbeNow(aState, aNow, target, aOut);
   }
 }
 
@@ -190,7 +190,7 @@
                          aNow - aEnd.mBrokenAt <= kOpenEndTime;
                 });
   if (open) {
-    AskNow(aState, aNow, aTarget, aOut);
+    ProbeNow(aState, aNow, aTarget, aOut);
   }
   return open;
 }
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -73,7 +73,7 @@
   // A single slow answer must not double an estimate.
   const double ratio = std::min(took / learnt.mWork, kMostRatio);
   const bool told =
-    aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kFreshReport;
+    aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kMaxReportAge;
   if (aAttempt.mCold) {
     service.mColdStretch += kWorkGain * (ratio - service.mColdStretch);
     service.mColdStretch = std::max(1.0, service.mColdStretch);
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -7,17 +7,17 @@
 
 /// \brief Minimum and maximum number of targets probed for their load before a
 /// request is sent; four to eight nearly always include an idle one.
-constexpr std::size_t kAskMin = 4;
-constexpr std::size_t kAskMax = 8;
+constexpr std::size_t kMinProbes = 4;
+constexpr std::size_t kMaxProbes = 8;
 /// \brief Rounds of probes before a request waits or takes the best known
 /// target.
-constexpr int kAskRounds = 2;
+constexpr int kProbeRounds = 2;
 /// \brief Maximum age of a report that still reflects the current load: a few
 /// round trips between data centres.
-constexpr Micros kFreshReport = 40 * kMillisecond;
+constexpr Micros kMaxReportAge = 40 * kMillisecond;
 /// \brief Bounds on the time to wait for a probe's answer.
-constexpr Micros kAskPatienceMin = 10 * kMillisecond;
-constexpr Micros kAskPatienceMax = 100 * kMillisecond;
+constexpr Micros kMinProbeWait = 10 * kMillisecond;
+constexpr Micros kMaxProbeWait = 100 * kMillisecond;
 /// \brief Delay before a request that found no free target is checked again: a
 /// small part of the shortest service times.
 constexpr Micros kLookAgain = 15 * kMillisecond;
@@ -83,10 +83,16 @@
 // --- asking.cpp: load probes before a choice
 /// \brief Probes candidate targets for a request; true when any answer is
 /// awaited.
-bool Ask(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
+bool ProbeCandidates(State& aState,
+                     Micros aNow,
+                     Request& aRequest,
+                     Effects& aOut);
 void Probe(State& aState, Micros aNow, Target& aTarget, Effects& aOut);
 /// \brief Probes the targets that are running attempts of a request.
-void AskRunning(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
+void ProbeRunningTargets(State& aState,
+                         Micros aNow,
+                         Request& aRequest,
+                         Effects& aOut);
 void Suspect(State& aState,
              Micros aNow,
              Target& aTarget,
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -132,8 +132,8 @@
 {
   Micros next = aRequest.mDeadline;
   if (aRequest.mWaiting) {
-    next =
-      std::min(next, std::max(aRequest.mAskedUntil, aRequest.mLookAgainAt));
+    next = std::min(
+      next, std::max(aRequest.mProbesAwaitedUntil, aRequest.mLookAgainAt));
   }
   if (aRequest.mHedgeAt != 0 && !aRequest.mHedging) {
     next = std::min(next, aRequest.mHedgeAt);
@@ -433,7 +433,7 @@
     request.mHedgeAt = 0;
     ++aState.mCounters["hedges_considered"];
     StartWaiting(aState, aNow, request, aOut);
-    AskRunning(aState, aNow, request, aOut);
+    ProbeRunningTargets(aState, aNow, request, aOut);
   }
   Pump(aState, aNow, service, aOut);
   const auto still = aState.mRequests.find(aRequest);
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -135,9 +135,9 @@
   for (const std::string& id : aService.mSubset) {
     Target& target = aState.mTargets[id];
     if (!target.mProbing && target.mProbeSentAt == 0 &&
-        target.mProbeAgainAt == 0) {
-      target.mProbeAgainAt = aNow + kMeetPause;
-      aState.mProbeTimers.emplace(target.mProbeAgainAt, id);
+        target.mNextProbeAt == 0) {
+      target.mNextProbeAt = aNow + kMeetPause;
+      aState.mProbeTimers.emplace(target.mNextProbeAt, id);
     }
   }
 }
@@ -160,7 +160,7 @@
                Effects& aOut)
 {
   const auto found = aState.mTargets.find(aId);
-  if (found == aState.mTargets.end() || aNow < found->second.mProbeAgainAt) {
+  if (found == aState.mTargets.end() || aNow < found->second.mNextProbeAt) {
     return;
   }
   Target& target = found->second;
@@ -170,12 +170,12 @@
   const auto& subset = aState.mServices[target.mService].mSubset;
   if (target.mProbeSentAt == 0 &&
       std::find(subset.begin(), subset.end(), aId) == subset.end()) {
-    target.mProbeAgainAt = 0;
+    target.mNextProbeAt = 0;
     return;
   }
   if (!budget::Take(aState.mProbeBudget, aNow, 1)) {
-    target.mProbeAgainAt = aNow + kIllPause;
-    aState.mProbeTimers.emplace(target.mProbeAgainAt, aId);
+    target.mNextProbeAt = aNow + kIllPause;
+    aState.mProbeTimers.emplace(target.mNextProbeAt, aId);
     return;
   }
   Probe(aState, aNow, target, aOut);
@@ -294,7 +294,8 @@
   } else if (!aEnd.mHealthy) {
     Suspect(aState, aNow, target, "says_ill", aOut);
   } else {
-    target.mProbeTime += (aNow - target.mProbeSentAt - target.mProbeTime) / 4;
+    target.mProbeRoundTrip +=
+      (aNow - target.mProbeSentAt - target.mProbeRoundTrip) / 4;
     Revive(target, aOut);
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -23,13 +23,13 @@
 /// left, so that enough is left for the work.
 constexpr Micros kReturnShare = 3;
 
-bool IsAsking(const State& aState, const Request& aRequest, Micros aNow)
+bool IsAwaitingProbes(const State& aState, const Request& aRequest, Micros aNow)
 {
-  if (aNow >= aRequest.mAskedUntil) {
+  if (aNow >= aRequest.mProbesAwaitedUntil) {
     return false;
   }
-  return std::any_of(aRequest.mAsked.begin(),
-                     aRequest.mAsked.end(),
+  return std::any_of(aRequest.mProbed.begin(),
+                     aRequest.mProbed.end(),
                      [&](const std::string& aId) {
                        const auto found = aState.mTargets.find(aId);
                        return found != aState.mTargets.end() &&
@@ -57,9 +57,9 @@
 
 void LookLater(State& aState, Micros aNow, Request& aRequest, const Need& aNeed)
 {
-  aRequest.mAsked.clear();
-  aRequest.mAskRound = 0;
-  aRequest.mAskedUntil = 0;
+  aRequest.mProbed.clear();
+  aRequest.mProbeRound = 0;
+  aRequest.mProbesAwaitedUntil = 0;
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
   const Micros pause =
     std::max(kLookAgain, aNeed.mWork / kLooksPerWork) * (late ? kLatePause : 1);
@@ -159,7 +159,7 @@
            const Need& aNeed,
            Effects& aOut)
 {
-  if (IsAsking(aState, aRequest, aNow)) {
+  if (IsAwaitingProbes(aState, aRequest, aNow)) {
     return;
   }
   const Choice choice = Choose(aState, aLook, aRequest, aNeed, aNow);
@@ -178,7 +178,7 @@
       if (aNow < aRequest.mLookAgainAt) {
         return;
       }
-      if (Ask(aState, aNow, aRequest, aOut)) {
+      if (ProbeCandidates(aState, aNow, aRequest, aOut)) {
         SetTimer(aState, aRequest);
         return;
       }
@@ -241,12 +241,12 @@
 {
   Service& service = aState.mServices[aRequest.mService];
   aRequest.mWaiting = true;
-  aRequest.mAsked.clear();
-  aRequest.mAskRound = 0;
+  aRequest.mProbed.clear();
+  aRequest.mProbeRound = 0;
   aRequest.mLookAgainAt = 0;
   service.mWaiting.insert(
     { aRequest.mPriority, aRequest.mDeadline, aRequest.mId });
-  Ask(aState, aNow, aRequest, aOut);
+  ProbeCandidates(aState, aNow, aRequest, aOut);
   SetTimer(aState, aRequest);
 }
 
