--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -258,7 +258,7 @@
   int mProbeRound = 0;
   std::set<std::string> mProbed;
   Micros mProbesAwaitedUntil = 0;
-  Micros mLookAgainAt = 0;
+  Micros mRecheckAt = 0;
 
   std::vector<Attempt> mAttempts;
   std::set<std::string> mTried;
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -235,7 +235,7 @@
   const Micros whole = aRequest.mDeadline - aRequest.mArrivedAt;
   const auto kept =
     static_cast<Micros>(kKeptForReturn * static_cast<double>(whole));
-  return aRequest.mDeadline - std::max(kept, aNeed.mWork + kLookAgain);
+  return aRequest.mDeadline - std::max(kept, aNeed.mWork + kRecheckDelay);
 }
 
 // A request waits for a target that meets its objective as long as one may
@@ -281,7 +281,7 @@
     return SecondChoice(aRequest, aNeed, best, aNow);
   }
   const auto wanted = static_cast<Micros>(kWorkMargin * aNeed.mWork);
-  if (aNow + wanted + kLookAgain < aRequest.mObjectiveAt) {
+  if (aNow + wanted + kRecheckDelay < aRequest.mObjectiveAt) {
     return { Verdict::LookAgain, nullptr };
   }
   return LateChoice(aState, aLook, aRequest, aNeed, best, aNow);
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -20,7 +20,7 @@
 constexpr Micros kMaxProbeWait = 100 * kMillisecond;
 /// \brief Delay before a request that found no free target is checked again: a
 /// small part of the shortest service times.
-constexpr Micros kLookAgain = 15 * kMillisecond;
+constexpr Micros kRecheckDelay = 15 * kMillisecond;
 
 /// \brief A target with up to this slowness counts as working at its usual
 /// speed.
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -133,7 +133,7 @@
   Micros next = aRequest.mDeadline;
   if (aRequest.mWaiting) {
     next = std::min(
-      next, std::max(aRequest.mProbesAwaitedUntil, aRequest.mLookAgainAt));
+      next, std::max(aRequest.mProbesAwaitedUntil, aRequest.mRecheckAt));
   }
   if (aRequest.mHedgeAt != 0 && !aRequest.mHedging) {
     next = std::min(next, aRequest.mHedgeAt);
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Late requests check for capacity this many times less often than others.
-constexpr Micros kLatePause = 12;
+constexpr Micros kLateRecheckFactor = 12;
 /// A target counts as slowed down when its slowness reaches this many times the
 /// value at the choice.
 constexpr double kSlowedDown = 1.8;
@@ -18,7 +18,7 @@
 constexpr Micros kOverdue = 3;
 /// A waiting request checks for a free target this many times per service time:
 /// each check costs probes.
-constexpr Micros kLooksPerWork = 10;
+constexpr Micros kRechecksPerWork = 10;
 /// A refused client retries after this fraction (1/n) of the time that it has
 /// left, so that enough is left for the work.
 constexpr Micros kReturnShare = 3;
@@ -55,18 +55,21 @@
   return fresh;
 }
 
-void LookLater(State& aState, Micros aNow, Request& aRequest, const Need& aNeed)
+void ScheduleRecheck(State& aState,
+                     Micros aNow,
+                     Request& aRequest,
+                     const Need& aNeed)
 {
   aRequest.mProbed.clear();
   aRequest.mProbeRound = 0;
   aRequest.mProbesAwaitedUntil = 0;
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
-  const Micros pause =
-    std::max(kLookAgain, aNeed.mWork / kLooksPerWork) * (late ? kLatePause : 1);
+  const Micros pause = std::max(kRecheckDelay, aNeed.mWork / kRechecksPerWork) *
+                       (late ? kLateRecheckFactor : 1);
   // The last check must come early enough that a refused client has time to
   // retry.
   const Micros giveUpAt = GiveUpAt(aRequest, aNeed);
-  aRequest.mLookAgainAt =
+  aRequest.mRecheckAt =
     aNow < giveUpAt ? std::min(aNow + pause, giveUpAt) : aNow + pause;
   SetTimer(aState, aRequest);
 }
@@ -77,7 +80,7 @@
   StopWaiting(aState, aRequest);
   aRequest.mHedging = false;
   const Need need = NeedOf(aState, aRequest);
-  aRequest.mHedgeAt = aNow + std::max(4 * kLookAgain, need.mWork / 2);
+  aRequest.mHedgeAt = aNow + std::max(4 * kRecheckDelay, need.mWork / 2);
   SetTimer(aState, aRequest);
 }
 
@@ -175,7 +178,7 @@
       aLook.Forget();
       return;
     case Verdict::AskMore:
-      if (aNow < aRequest.mLookAgainAt) {
+      if (aNow < aRequest.mRecheckAt) {
         return;
       }
       if (ProbeCandidates(aState, aNow, aRequest, aOut)) {
@@ -189,7 +192,7 @@
         StopHedging(aState, aNow, aRequest);
         return;
       }
-      LookLater(aState, aNow, aRequest, aNeed);
+      ScheduleRecheck(aState, aNow, aRequest, aNeed);
       return;
     case Verdict::Hopeless:
     case Verdict::NoTarget:
@@ -210,7 +213,7 @@
 }
 
 // True for requests of one route with the same latency objective.
-bool NeedTheSame(const Request& aLeft, const Request& aRight)
+bool HaveSameNeed(const Request& aLeft, const Request& aRight)
 {
   return aLeft.mObjectiveAt - aLeft.mArrivedAt ==
            aRight.mObjectiveAt - aRight.mArrivedAt &&
@@ -243,7 +246,7 @@
   aRequest.mWaiting = true;
   aRequest.mProbed.clear();
   aRequest.mProbeRound = 0;
-  aRequest.mLookAgainAt = 0;
+  aRequest.mRecheckAt = 0;
   service.mWaiting.insert(
     { aRequest.mPriority, aRequest.mDeadline, aRequest.mId });
   ProbeCandidates(aState, aNow, aRequest, aOut);
@@ -277,7 +280,7 @@
   Need need;
   for (const WaitKey& key : service->second.mWaiting) {
     const Request& request = aState.mRequests.at(key.mRequest);
-    if (last == nullptr || !NeedTheSame(*last, request)) {
+    if (last == nullptr || !HaveSameNeed(*last, request)) {
       need = NeedOf(aState, request);
     }
     last = &request;
