--- a/src/dispatch/choice.h
+++ b/src/dispatch/choice.h
@@ -15,9 +15,9 @@
 enum class Verdict
 {
   Send,
-  AskMore,
+  ProbeMore,
   LookAgain,
-  Hopeless,
+  OutOfTime,
   NoTarget
 };
 
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -150,16 +150,16 @@
 
 // A hedged attempt is for a request that is late or about to be. The first
 // attempt continues alone when no other target has spare capacity.
-Choice SecondChoice(const Request& aRequest,
-                    const Need& aNeed,
-                    Target* aBest,
-                    Micros aNow)
+Choice ChooseHedge(const Request& aRequest,
+                   const Need& aNeed,
+                   Target* aBest,
+                   Micros aNow)
 {
   const bool takes =
     aBest != nullptr && IsUncrowded(*aBest, aNeed.mService->mCurve, aNow) &&
     ExpectedTime(*aBest, aNeed, aNow) <= aRequest.mDeadline - aNow;
   return takes ? Choice{ Verdict::Send, aBest }
-               : Choice{ Verdict::Hopeless, nullptr };
+               : Choice{ Verdict::OutOfTime, nullptr };
 }
 
 bool HasSpareRoom(const State& aState,
@@ -200,13 +200,13 @@
     return { Verdict::Send, aBest };
   }
   if (LateServed(service, aNow) < kWorthWaiting) {
-    return { Verdict::Hopeless, nullptr };
+    return { Verdict::OutOfTime, nullptr };
   }
   if (aNow < GiveUpAt(aRequest, aNeed)) {
     return { Verdict::LookAgain, nullptr };
   }
   NoteLate(service, false, aNow);
-  return { Verdict::Hopeless, nullptr };
+  return { Verdict::OutOfTime, nullptr };
 }
 
 // A target whose share of the rate limit has not been used for a while: only an
@@ -248,7 +248,7 @@
 {
   if (!FitsLink(aState, aNeed)) {
     const bool goesOn = aNow < GiveUpAt(aRequest, aNeed);
-    return { goesOn ? Verdict::LookAgain : Verdict::Hopeless, nullptr };
+    return { goesOn ? Verdict::LookAgain : Verdict::OutOfTime, nullptr };
   }
   if (Target* unused = UnusedTarget(aLook, aRequest, aNeed, aNow)) {
     return { Verdict::Send, unused };
@@ -269,7 +269,7 @@
     return { Verdict::Send, best };
   }
   if (more) {
-    return { Verdict::AskMore, nullptr };
+    return { Verdict::ProbeMore, nullptr };
   }
   if (best == nullptr && !AnyUntried(aState, aRequest)) {
     return { Verdict::NoTarget, nullptr };
@@ -278,7 +278,7 @@
     best = best != nullptr
              ? best
              : Best(AllTargets(aState, service), aRequest, aNeed, aNow);
-    return SecondChoice(aRequest, aNeed, best, aNow);
+    return ChooseHedge(aRequest, aNeed, best, aNow);
   }
   const auto wanted = static_cast<Micros>(kWorkMargin * aNeed.mWork);
   if (aNow + wanted + kRecheckDelay < aRequest.mObjectiveAt) {
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -16,7 +16,7 @@
 /// Connection failures after which a request is given up.
 constexpr int kMaxUnreached = 4;
 /// Lifetime of a service-time estimate that causes all requests to be refused.
-constexpr Micros kWorkTrusted = 1 * kSecond;
+constexpr Micros kEstimateLifetime = 1 * kSecond;
 /// Smoothing gain of the interval between dispatches.
 constexpr double kIntervalGain = 0.2;
 constexpr int kUnavailable = 503;
@@ -73,14 +73,16 @@
 
 // A service-time estimate that exceeds every deadline lets no request through
 // that could correct it. It is reset when no answer has confirmed it for
-// kWorkTrusted.
-void ForgetHopelessWork(State& aState, Micros aNow, const Request& aRequest)
+// kEstimateLifetime.
+void ResetUnmeetableEstimate(State& aState,
+                             Micros aNow,
+                             const Request& aRequest)
 {
   RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
   const bool isFirstTry = aRequest.mObjectiveAt > aNow;
   const auto work = static_cast<Micros>(learnt.mWork);
   if (isFirstTry && aNow + work > aRequest.mDeadline &&
-      aNow - learnt.mLearntAt > kWorkTrusted) {
+      aNow - learnt.mLearntAt > kEstimateLifetime) {
     learnt.mWork = 0;
     learnt.mAnswers = 0;
   }
@@ -374,7 +376,7 @@
   }
   const Micros wait = ExpectedWait(service, request);
   Request& added = aState.mRequests[request.mId] = std::move(request);
-  ForgetHopelessWork(aState, aNow, added);
+  ResetUnmeetableEstimate(aState, aNow, added);
   if (aNow + wait + NeedOf(aState, added).mWork > added.mDeadline) {
     Refuse(aState,
            aNow,
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -177,7 +177,7 @@
       SendOut(aState, aNow, aRequest, *choice.mTarget, aOut);
       aLook.Forget();
       return;
-    case Verdict::AskMore:
+    case Verdict::ProbeMore:
       if (aNow < aRequest.mRecheckAt) {
         return;
       }
@@ -194,7 +194,7 @@
       }
       ScheduleRecheck(aState, aNow, aRequest, aNeed);
       return;
-    case Verdict::Hopeless:
+    case Verdict::OutOfTime:
     case Verdict::NoTarget:
       if (hedging) {
         StopHedging(aState, aNow, aRequest);
@@ -205,8 +205,8 @@
              aRequest.mId,
              aRequest.mMayHaveRun ? 502 : 503,
              RetryAfter(aState, ReturnTime(aRequest, aNow)),
-             choice.mVerdict == Verdict::Hopeless ? "deadline_out_of_reach"
-                                                  : "no_target",
+             choice.mVerdict == Verdict::OutOfTime ? "deadline_out_of_reach"
+                                                   : "no_target",
              aOut);
       return;
   }
