--- a/src/dispatch/choice.h
+++ b/src/dispatch/choice.h
@@ -23,7 +23,7 @@
 
 /// \brief State shared by all waiting requests of a service during one pass
 /// over the queue.
-struct Look
+struct PassCache
 {
   /// Targets with a fresh report.
   std::vector<Target*> mFresh;
@@ -37,7 +37,7 @@
 
   /// \brief Drops the cached values after a request was sent to one of the
   /// targets.
-  void Forget()
+  void Invalidate()
   {
     mBest.clear();
     mRoom.reset();
@@ -55,7 +55,7 @@
 [[nodiscard]] Micros GiveUpAt(const Request& aRequest, const Need& aNeed);
 
 [[nodiscard]] Choice Choose(State& aState,
-                            Look& aLook,
+                            PassCache& aCache,
                             const Request& aRequest,
                             const Need& aNeed,
                             Micros aNow);
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -71,21 +71,21 @@
 
 // Requests that have not been sent yet share the cached choice for their
 // service time and answer size.
-Target* BestFresh(Look& aLook,
+Target* BestFresh(PassCache& aCache,
                   const Request& aRequest,
                   const Need& aNeed,
                   Micros aNow)
 {
   if (!aRequest.mTried.empty()) {
-    return Best(aLook.mFresh, aRequest, aNeed, aNow);
+    return Best(aCache.mFresh, aRequest, aNeed, aNow);
   }
   const auto key = std::make_pair(aNeed.mWork, aNeed.mAnswerBytes);
-  const auto found = aLook.mBest.find(key);
-  if (found != aLook.mBest.end()) {
+  const auto found = aCache.mBest.find(key);
+  if (found != aCache.mBest.end()) {
     return found->second;
   }
-  Target* best = Best(aLook.mFresh, aRequest, aNeed, aNow);
-  aLook.mBest.emplace(key, best);
+  Target* best = Best(aCache.mFresh, aRequest, aNeed, aNow);
+  aCache.mBest.emplace(key, best);
   return best;
 }
 
@@ -102,37 +102,37 @@
 
 // Targets with a fresh report that would serve one more request at close to
 // their usual speed.
-std::size_t RoomSeen(Look& aLook, const Need& aNeed, Micros aNow)
+std::size_t RoomSeen(PassCache& aCache, const Need& aNeed, Micros aNow)
 {
-  if (aLook.mRoom) {
-    return *aLook.mRoom;
+  if (aCache.mRoom) {
+    return *aCache.mRoom;
   }
   const auto has = [&](const Target* aTarget) {
     return !aTarget->mSuspect && HasRoomInLimit(*aTarget, aNow) &&
            IsUncrowded(*aTarget, aNeed.mService->mCurve, aNow) &&
            aTarget->mReport->mSlowness <= kUsualSlowness;
   };
-  aLook.mRoom = static_cast<std::size_t>(
-    std::count_if(aLook.mFresh.begin(), aLook.mFresh.end(), has));
-  return *aLook.mRoom;
+  aCache.mRoom = static_cast<std::size_t>(
+    std::count_if(aCache.mFresh.begin(), aCache.mFresh.end(), has));
+  return *aCache.mRoom;
 }
 
 // Fewer targets with spare capacity suffice for a late request where only few
 // targets are usable.
 std::size_t UsableTargets(const State& aState,
-                          Look& aLook,
+                          PassCache& aCache,
                           const Request& aRequest)
 {
-  if (aLook.mUsable) {
-    return *aLook.mUsable;
+  if (aCache.mUsable) {
+    return *aCache.mUsable;
   }
   const auto& subset = aState.mServices.at(aRequest.mService).mSubset;
-  aLook.mUsable = static_cast<std::size_t>(
+  aCache.mUsable = static_cast<std::size_t>(
     std::count_if(subset.begin(), subset.end(), [&](const std::string& aId) {
       const Target& target = aState.mTargets.at(aId);
       return !target.mSuspect && MayEverTake(target);
     }));
-  return *aLook.mUsable;
+  return *aCache.mUsable;
 }
 
 double LateServed(const Service& aService, Micros aNow)
@@ -163,7 +163,7 @@
 }
 
 bool HasSpareRoom(const State& aState,
-                  Look& aLook,
+                  PassCache& aCache,
                   const Request& aRequest,
                   const Need& aNeed,
                   const Target& aTarget,
@@ -176,10 +176,10 @@
     return HasFreeSlot(aTarget, aNow);
   }
   const std::size_t wanted =
-    std::min(kRoomForLate, UsableTargets(aState, aLook, aRequest));
+    std::min(kRoomForLate, UsableTargets(aState, aCache, aRequest));
   return IsFresh(aTarget, aNow) &&
          IsUncrowded(aTarget, aNeed.mService->mCurve, aNow) &&
-         RoomSeen(aLook, aNeed, aNow) >= wanted;
+         RoomSeen(aCache, aNeed, aNow) >= wanted;
 }
 
 // A request that has missed its latency objective takes only capacity that
@@ -187,7 +187,7 @@
 // spare capacity if recent late requests found some; otherwise it is refused at
 // once and its client told to retry later.
 Choice LateChoice(State& aState,
-                  Look& aLook,
+                  PassCache& aCache,
                   const Request& aRequest,
                   const Need& aNeed,
                   Target* aBest,
@@ -195,7 +195,7 @@
 {
   Service& service = aState.mServices[aRequest.mService];
   if (aBest != nullptr &&
-      HasSpareRoom(aState, aLook, aRequest, aNeed, *aBest, aNow)) {
+      HasSpareRoom(aState, aCache, aRequest, aNeed, *aBest, aNow)) {
     NoteLate(service, true, aNow);
     return { Verdict::Send, aBest };
   }
@@ -211,13 +211,13 @@
 
 // A target whose share of the rate limit has not been used for a while: only an
 // answer can tell that the limit has been lifted.
-Target* UnusedTarget(const Look& aLook,
+Target* UnusedTarget(const PassCache& aCache,
                      const Request& aRequest,
                      const Need& aNeed,
                      Micros aNow)
 {
   const auto found = std::find_if(
-    aLook.mFresh.begin(), aLook.mFresh.end(), [&](const Target* aTarget) {
+    aCache.mFresh.begin(), aCache.mFresh.end(), [&](const Target* aTarget) {
       return aTarget->mLimit && !aTarget->mSuspect &&
              rate_share::IsUnused(aTarget->mShare, aNow) &&
              aRequest.mTried.count(aTarget->mId) == 0 &&
@@ -225,7 +225,7 @@
              aNow + ExpectedTime(*aTarget, aNeed, aNow) <=
                aRequest.mObjectiveAt;
     });
-  return found == aLook.mFresh.end() ? nullptr : *found;
+  return found == aCache.mFresh.end() ? nullptr : *found;
 }
 
 } // namespace
@@ -241,7 +241,7 @@
 // A request waits for a target that meets its objective as long as one may
 // become available in time: targets change their speed several times a second.
 Choice Choose(State& aState,
-              Look& aLook,
+              PassCache& aCache,
               const Request& aRequest,
               const Need& aNeed,
               Micros aNow)
@@ -250,7 +250,7 @@
     const bool goesOn = aNow < GiveUpAt(aRequest, aNeed);
     return { goesOn ? Verdict::LookAgain : Verdict::OutOfTime, nullptr };
   }
-  if (Target* unused = UnusedTarget(aLook, aRequest, aNeed, aNow)) {
+  if (Target* unused = UnusedTarget(aCache, aRequest, aNeed, aNow)) {
     return { Verdict::Send, unused };
   }
   const Service& service = *aNeed.mService;
@@ -260,7 +260,7 @@
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
   const bool more = tells && aRequest.mProbeRound < (late ? 1 : kProbeRounds);
   Target* best = tells
-                   ? BestFresh(aLook, aRequest, aNeed, aNow)
+                   ? BestFresh(aCache, aRequest, aNeed, aNow)
                    : Best(AllTargets(aState, service), aRequest, aNeed, aNow);
   if (best != nullptr && HasFreeSlot(*best, aNow) &&
       (IsUncrowded(*best, aNeed.mService->mCurve, aNow) ||
@@ -284,7 +284,7 @@
   if (aNow + wanted + kRecheckDelay < aRequest.mObjectiveAt) {
     return { Verdict::LookAgain, nullptr };
   }
-  return LateChoice(aState, aLook, aRequest, aNeed, best, aNow);
+  return LateChoice(aState, aCache, aRequest, aNeed, best, aNow);
 }
 
 Need NeedOf(const State& aState, const Request& aRequest)
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -157,7 +157,7 @@
 // Sends, refuses or keeps one waiting request.
 void Serve(State& aState,
            Micros aNow,
-           Look& aLook,
+           PassCache& aCache,
            Request& aRequest,
            const Need& aNeed,
            Effects& aOut)
@@ -165,7 +165,7 @@
   if (IsAwaitingProbes(aState, aRequest, aNow)) {
     return;
   }
-  const Choice choice = Choose(aState, aLook, aRequest, aNeed, aNow);
+  const Choice choice = Choose(aState, aCache, aRequest, aNeed, aNow);
   const bool hedging = aRequest.mHedging;
   switch (choice.mVerdict) {
     case Verdict::Send:
@@ -175,7 +175,7 @@
         return;
       }
       SendOut(aState, aNow, aRequest, *choice.mTarget, aOut);
-      aLook.Forget();
+      aCache.Invalidate();
       return;
     case Verdict::ProbeMore:
       if (aNow < aRequest.mRecheckAt) {
@@ -185,7 +185,7 @@
         SetTimer(aState, aRequest);
         return;
       }
-      Serve(aState, aNow, aLook, aRequest, aNeed, aOut);
+      Serve(aState, aNow, aCache, aRequest, aNeed, aOut);
       return;
     case Verdict::LookAgain:
       if (hedging) {
@@ -288,12 +288,12 @@
     (lost ? late : order).emplace_back(key.mRequest, need);
   }
   order.insert(order.end(), late.begin(), late.end());
-  Look look;
-  look.mFresh = FreshTargets(aState, service->second, aNow);
+  PassCache cache;
+  cache.mFresh = FreshTargets(aState, service->second, aNow);
   for (const auto& [id, needed] : order) {
     const auto found = aState.mRequests.find(id);
     if (found != aState.mRequests.end() && found->second.mWaiting) {
-      Serve(aState, aNow, look, found->second, needed, aOut);
+      Serve(aState, aNow, cache, found->second, needed, aOut);
     }
   }
 }
