--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -102,7 +102,7 @@
   aOut.emplace_back(DeliverAnswer{ aRequest.mId, aAttempt.mNumber });
   RemoveAttempt(aRequest, aAttempt.mNumber);
   CancelAttempts(aState, aRequest, aOut);
-  Forget(aState, aRequest.mId);
+  RemoveRequest(aState, aRequest.mId);
 }
 
 // True when it is certain that the target did not run the request.
@@ -181,7 +181,7 @@
       "event=detached_ended status=" + std::to_string(aEnd.mStatus) +
         Describe(aState, aRequest, aNow));
   if (aRequest.mAttempts.empty()) {
-    Forget(aState, aRequest.mId);
+    RemoveRequest(aState, aRequest.mId);
   }
 }
 
@@ -217,11 +217,11 @@
     ++request.mUnreached;
   }
   if (DidNotRun(aEnd)) {
-    TryElsewhere(aState,
-                 aNow,
-                 request,
-                 aEnd.mReason.empty() ? "target_refused" : aEnd.mReason,
-                 aOut);
+    RetryElsewhere(aState,
+                   aNow,
+                   request,
+                   aEnd.mReason.empty() ? "target_refused" : aEnd.mReason,
+                   aOut);
   } else {
     request.mMayHaveRun = true;
     const bool failed =
@@ -233,15 +233,15 @@
       Learn(aState, request, attempt, aEnd, aNow);
       Deliver(aState, aNow, request, attempt, aEnd, aOut);
     } else {
-      TryElsewhere(aState,
-                   aNow,
-                   request,
-                   aEnd.mKind == EndKind::Broken ? "answer_broken"
-                                                 : "target_failed",
-                   aOut);
+      RetryElsewhere(aState,
+                     aNow,
+                     request,
+                     aEnd.mKind == EndKind::Broken ? "answer_broken"
+                                                   : "target_failed",
+                     aOut);
     }
   }
-  Pump(aState, aNow, service, aOut);
+  ServeQueue(aState, aNow, service, aOut);
 }
 
 } // namespace geraniumpond::dispatch
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -110,10 +110,10 @@
 [[nodiscard]] Need NeedOf(const State& aState, const Request& aRequest);
 
 // --- waiting.cpp: the queue of requests that wait for a target
-void Pump(State& aState,
-          Micros aNow,
-          const std::string& aService,
-          Effects& aOut);
+void ServeQueue(State& aState,
+                Micros aNow,
+                const std::string& aService,
+                Effects& aOut);
 void StartWaiting(State& aState, Micros aNow, Request& aRequest, Effects& aOut);
 void StopWaiting(State& aState, Request& aRequest);
 /// \brief Expected queueing time of a new request of this priority and
@@ -220,10 +220,10 @@
 
 // --- unrouted.cpp: requests that arrive before the first policy
 /// \brief Queues a request until the first policy arrives, or refuses it.
-void HoldUnrouted(State& aState,
-                  Micros aNow,
-                  const Arrival& aArrival,
-                  Effects& aOut);
+void QueueUnrouted(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut);
 /// \brief Refuses a request that matches no route of the policy.
 void RefuseUnknownRoute(State& aState, const Arrival& aArrival, Effects& aOut);
 void ExpireUnrouted(State& aState, Micros aNow, Effects& aOut);
@@ -268,16 +268,19 @@
             const std::string& aReason,
             Effects& aOut);
 void CancelAttempts(State& aState, Request& aRequest, Effects& aOut);
-void Forget(State& aState, std::uint64_t aRequest);
+void RemoveRequest(State& aState, std::uint64_t aRequest);
 void SetTimer(State& aState, Request& aRequest);
-void Fire(State& aState, Micros aNow, std::uint64_t aRequest, Effects& aOut);
+void HandleTimer(State& aState,
+                 Micros aNow,
+                 std::uint64_t aRequest,
+                 Effects& aOut);
 /// \brief Retries a request on another target after its attempt ended, or
 /// refuses it.
-void TryElsewhere(State& aState,
-                  Micros aNow,
-                  Request& aRequest,
-                  const std::string& aWhy,
-                  Effects& aOut);
+void RetryElsewhere(State& aState,
+                    Micros aNow,
+                    Request& aRequest,
+                    const std::string& aWhy,
+                    Effects& aOut);
 /// \brief Fields that describe a request in log lines.
 [[nodiscard]] std::string Describe(const State& aState,
                                    const Request& aRequest,
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -148,7 +148,7 @@
   aState.mTimers.emplace(next, aRequest.mId);
 }
 
-void Forget(State& aState, std::uint64_t aRequest)
+void RemoveRequest(State& aState, std::uint64_t aRequest)
 {
   const auto found = aState.mRequests.find(aRequest);
   if (found == aState.mRequests.end()) {
@@ -201,7 +201,7 @@
     return;
   }
   CancelAttempts(aState, request, aOut);
-  Forget(aState, aRequest);
+  RemoveRequest(aState, aRequest);
 }
 
 void SendTo(State& aState,
@@ -252,11 +252,11 @@
   SetTimer(aState, aRequest);
 }
 
-void TryElsewhere(State& aState,
-                  Micros aNow,
-                  Request& aRequest,
-                  const std::string& aWhy,
-                  Effects& aOut)
+void RetryElsewhere(State& aState,
+                    Micros aNow,
+                    Request& aRequest,
+                    const std::string& aWhy,
+                    Effects& aOut)
 {
   if (!aRequest.mAttempts.empty()) {
     return;
@@ -286,7 +286,7 @@
     StartWaiting(aState, aNow, aRequest, aOut);
   }
   aRequest.mHedging = false;
-  Pump(aState, aNow, aRequest.mService, aOut);
+  ServeQueue(aState, aNow, aRequest.mService, aOut);
 }
 
 void RefuseArrival(State& aState,
@@ -311,7 +311,7 @@
 {
   ++aState.mCounters["requests"];
   if (!aState.mPolicy) {
-    HoldUnrouted(aState, aNow, aArrival, aOut);
+    QueueUnrouted(aState, aNow, aArrival, aOut);
     return;
   }
   Admit(aState, aNow, aNow, aArrival, aOut);
@@ -388,7 +388,7 @@
     return;
   }
   StartWaiting(aState, aNow, added, aOut);
-  Pump(aState, aNow, added.mService, aOut);
+  ServeQueue(aState, aNow, added.mService, aOut);
 }
 
 void ClientLeft(State& aState,
@@ -414,10 +414,13 @@
     return;
   }
   CancelAttempts(aState, request, aOut);
-  Forget(aState, aRequest);
+  RemoveRequest(aState, aRequest);
 }
 
-void Fire(State& aState, Micros aNow, std::uint64_t aRequest, Effects& aOut)
+void HandleTimer(State& aState,
+                 Micros aNow,
+                 std::uint64_t aRequest,
+                 Effects& aOut)
 {
   const auto found = aState.mRequests.find(aRequest);
   if (found == aState.mRequests.end()) {
@@ -437,7 +440,7 @@
     StartWaiting(aState, aNow, request, aOut);
     ProbeRunningTargets(aState, aNow, request, aOut);
   }
-  Pump(aState, aNow, service, aOut);
+  ServeQueue(aState, aNow, service, aOut);
   const auto still = aState.mRequests.find(aRequest);
   if (still != aState.mRequests.end() && !still->second.mDetached) {
     SetTimer(aState, still->second);
--- a/src/dispatch/returning.cpp
+++ b/src/dispatch/returning.cpp
@@ -24,7 +24,7 @@
 constexpr double kReturnGain = 0.02;
 constexpr double kChangedShare = 0.6;
 
-void Forget(PatienceStatistics& aLearnt) noexcept
+void ResetStatistics(PatienceStatistics& aLearnt) noexcept
 {
   aLearnt = PatienceStatistics();
 }
@@ -52,7 +52,7 @@
   aLearnt.mReturnShare +=
     kReturnGain * ((isReturn ? 1 : 0) - aLearnt.mReturnShare);
   if (aLearnt.mReturnShare > kChangedShare) {
-    Forget(aLearnt);
+    ResetStatistics(aLearnt);
   } else if (isReturn) {
     return;
   }
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -154,10 +154,10 @@
   aTarget.mUnreached = 0;
 }
 
-void FireProbe(State& aState,
-               Micros aNow,
-               const std::string& aId,
-               Effects& aOut)
+void HandleProbeTimer(State& aState,
+                      Micros aNow,
+                      const std::string& aId,
+                      Effects& aOut)
 {
   const auto found = aState.mTargets.find(aId);
   if (found == aState.mTargets.end() || aNow < found->second.mNextProbeAt) {
@@ -314,7 +314,7 @@
     }
     NoteTargetLives(aState, aNow, target, aOut);
   }
-  Pump(aState, aNow, service, aOut);
+  ServeQueue(aState, aNow, service, aOut);
 }
 
 void Tick(State& aState, Micros aNow, Effects& aOut)
@@ -322,13 +322,13 @@
   while (!aState.mTimers.empty() && aState.mTimers.begin()->first <= aNow) {
     const std::uint64_t request = aState.mTimers.begin()->second;
     aState.mTimers.erase(aState.mTimers.begin());
-    Fire(aState, aNow, request, aOut);
+    HandleTimer(aState, aNow, request, aOut);
   }
   while (!aState.mProbeTimers.empty() &&
          aState.mProbeTimers.begin()->first <= aNow) {
     const std::string target = aState.mProbeTimers.begin()->second;
     aState.mProbeTimers.erase(aState.mProbeTimers.begin());
-    FireProbe(aState, aNow, target, aOut);
+    HandleProbeTimer(aState, aNow, target, aOut);
   }
   ExpireUnrouted(aState, aNow, aOut);
 }
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -22,10 +22,10 @@
 
 } // namespace
 
-void HoldUnrouted(State& aState,
-                  Micros aNow,
-                  const Arrival& aArrival,
-                  Effects& aOut)
+void QueueUnrouted(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut)
 {
   const auto share =
     static_cast<Micros>(kHeldShare * static_cast<double>(aArrival.mPatience));
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -104,7 +104,7 @@
     });
 }
 
-void SendOut(State& aState,
+void TrySend(State& aState,
              Micros aNow,
              Request& aRequest,
              Target& aTarget,
@@ -155,12 +155,12 @@
 }
 
 // Sends, refuses or keeps one waiting request.
-void Serve(State& aState,
-           Micros aNow,
-           PassCache& aCache,
-           Request& aRequest,
-           const Need& aNeed,
-           Effects& aOut)
+void ServeRequest(State& aState,
+                  Micros aNow,
+                  PassCache& aCache,
+                  Request& aRequest,
+                  const Need& aNeed,
+                  Effects& aOut)
 {
   if (IsAwaitingProbes(aState, aRequest, aNow)) {
     return;
@@ -174,7 +174,7 @@
         StopHedging(aState, aNow, aRequest);
         return;
       }
-      SendOut(aState, aNow, aRequest, *choice.mTarget, aOut);
+      TrySend(aState, aNow, aRequest, *choice.mTarget, aOut);
       aCache.Invalidate();
       return;
     case Verdict::ProbeMore:
@@ -185,7 +185,7 @@
         SetTimer(aState, aRequest);
         return;
       }
-      Serve(aState, aNow, aCache, aRequest, aNeed, aOut);
+      ServeRequest(aState, aNow, aCache, aRequest, aNeed, aOut);
       return;
     case Verdict::LookAgain:
       if (hedging) {
@@ -263,10 +263,10 @@
     { aRequest.mPriority, aRequest.mDeadline, aRequest.mId });
 }
 
-void Pump(State& aState,
-          Micros aNow,
-          const std::string& aService,
-          Effects& aOut)
+void ServeQueue(State& aState,
+                Micros aNow,
+                const std::string& aService,
+                Effects& aOut)
 {
   const auto service = aState.mServices.find(aService);
   if (service == aState.mServices.end()) {
@@ -293,7 +293,7 @@
   for (const auto& [id, needed] : order) {
     const auto found = aState.mRequests.find(id);
     if (found != aState.mRequests.end() && found->second.mWaiting) {
-      Serve(aState, aNow, cache, found->second, needed, aOut);
+      ServeRequest(aState, aNow, cache, found->second, needed, aOut);
     }
   }
 }
