--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -77,12 +77,12 @@
   std::string mRelease;
   int mSlots = 1;
   /// End of its warm-up, after which it works at full speed.
-  Micros mWarmAt = 0;
+  Micros mWarmUpEnd = 0;
 
   std::optional<Report> mReport;
   Micros mReportAt = 0;
   /// Requests of this host sent since the last report.
-  int mSentSince = 0;
+  int mSentSinceReport = 0;
   /// Requests of this host in flight.
   int mRunning = 0;
 
@@ -91,9 +91,9 @@
   Micros mProbeRoundTrip = 3 * kMillisecond;
 
   /// Consecutive failures to reach it.
-  int mUnreached = 0;
+  int mConnectFailures = 0;
   /// Gets no requests until a probe succeeds at mNextProbeAt or later.
-  bool mSuspect = false;
+  bool mUnavailable = false;
   Micros mNextProbeAt = 0;
   /// Smoothed share of requests that failed there, as of mFailedAt.
   double mFailureShare = 0;
@@ -263,7 +263,7 @@
   std::vector<Attempt> mAttempts;
   std::set<std::string> mTried;
   int mSent = 0;
-  int mUnreached = 0;
+  int mConnectFailures = 0;
   bool mMayHaveRun = false;
   /// Waits for a second target while the first attempt runs.
   bool mHedging = false;
--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -21,12 +21,12 @@
                             Micros aNow,
                             const Request& aRequest,
                             const std::vector<std::string>& aIds,
-                            bool aSuspects)
+                            bool aUnavailable)
 {
   std::vector<Target*> usable;
   for (const std::string& id : aIds) {
     Target& target = aState.mTargets[id];
-    if (target.mSuspect == aSuspects && HasRoomInLimit(target, aNow) &&
+    if (target.mUnavailable == aUnavailable && HasRoomInLimit(target, aNow) &&
         aRequest.mTried.count(id) == 0 && aRequest.mProbed.count(id) == 0) {
       usable.push_back(&target);
     }
@@ -136,7 +136,7 @@
 {
   aTarget.mProbing = true;
   aTarget.mProbeSentAt = aNow;
-  aTarget.mSentSince = 0;
+  aTarget.mSentSinceReport = 0;
   ++aState.mCounters["probes"];
   aOut.emplace_back(
     ProbeTarget{ aTarget.mId,
@@ -144,21 +144,21 @@
                  aState.mServices[aTarget.mService].mHealthPath });
 }
 
-void Suspect(State& aState,
-             Micros aNow,
-             Target& aTarget,
-             const char* aWhy,
-             Effects& aOut)
+void MarkUnavailable(State& aState,
+                     Micros aNow,
+                     Target& aTarget,
+                     const char* aWhy,
+                     Effects& aOut)
 {
-  if (!aTarget.mSuspect) {
+  if (!aTarget.mUnavailable) {
     Log(aOut,
         2,
         "event=target_suspect target=" + aTarget.mId + " service=" +
           aTarget.mService + " address=" + aTarget.mAddress + " why=" + aWhy);
   }
-  ++aTarget.mUnreached;
-  aTarget.mSuspect = true;
-  const int doublings = std::min(aTarget.mUnreached - 1, 3);
+  ++aTarget.mConnectFailures;
+  aTarget.mUnavailable = true;
+  const int doublings = std::min(aTarget.mConnectFailures - 1, 3);
   const Micros pause = std::min(kMaxProbeRetryDelay,
                                 kMinProbeRetryDelay << std::max(0, doublings));
   aTarget.mNextProbeAt = aNow + pause;
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -56,7 +56,7 @@
   Target* best = nullptr;
   double bestCost = std::numeric_limits<double>::max();
   for (Target* target : aTargets) {
-    if (target->mSuspect || !HasRoomInLimit(*target, aNow) ||
+    if (target->mUnavailable || !HasRoomInLimit(*target, aNow) ||
         aRequest.mTried.count(target->mId) != 0) {
       continue;
     }
@@ -108,7 +108,7 @@
     return *aCache.mRoom;
   }
   const auto has = [&](const Target* aTarget) {
-    return !aTarget->mSuspect && HasRoomInLimit(*aTarget, aNow) &&
+    return !aTarget->mUnavailable && HasRoomInLimit(*aTarget, aNow) &&
            IsUncrowded(*aTarget, aNeed.mService->mCurve, aNow) &&
            aTarget->mReport->mSlowness <= kUsualSlowness;
   };
@@ -130,7 +130,7 @@
   aCache.mUsable = static_cast<std::size_t>(
     std::count_if(subset.begin(), subset.end(), [&](const std::string& aId) {
       const Target& target = aState.mTargets.at(aId);
-      return !target.mSuspect && MayEverTake(target);
+      return !target.mUnavailable && MayEverTake(target);
     }));
   return *aCache.mUsable;
 }
@@ -218,7 +218,7 @@
 {
   const auto found = std::find_if(
     aCache.mFresh.begin(), aCache.mFresh.end(), [&](const Target* aTarget) {
-      return aTarget->mLimit && !aTarget->mSuspect &&
+      return aTarget->mLimit && !aTarget->mUnavailable &&
              rate_share::IsUnused(aTarget->mShare, aNow) &&
              aRequest.mTried.count(aTarget->mId) == 0 &&
              HasFreeSlot(*aTarget, aNow) &&
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -62,7 +62,7 @@
   }
   const Report& report = *aTarget.mReport;
   return std::max(aTarget.mRunning,
-                  report.mRunning + report.mWaiting + aTarget.mSentSince);
+                  report.mRunning + report.mWaiting + aTarget.mSentSinceReport);
 }
 
 bool HasFreeSlot(const Target& aTarget, Micros aNow) noexcept
@@ -77,7 +77,7 @@
   const Service& service = *aNeed.mService;
   double work = static_cast<double>(aNeed.mWork) *
                 SlownessOf(aTarget, service.mSpeeds, aNow);
-  if (aNow < aTarget.mWarmAt) {
+  if (aNow < aTarget.mWarmUpEnd) {
     work *= service.mColdStretch;
   }
   const int slots = Slots(aTarget);
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -120,7 +120,7 @@
   std::set<std::string> releases;
   for (const std::string& id : aState.mServices.at(aService).mTargets) {
     const Target& target = aState.mTargets.at(id);
-    if (!target.mEnded && !target.mSuspect && ended.count(id) == 0) {
+    if (!target.mEnded && !target.mUnavailable && ended.count(id) == 0) {
       releases.insert(target.mRelease);
     }
   }
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -143,30 +143,30 @@
   if (aEnd.mReport) {
     Service& service = aState.mServices[target.mService];
     TakeReport(service, target, *aEnd.mReport, aNow);
-    target.mSentSince = 0;
+    target.mSentSinceReport = 0;
   } else {
-    target.mSentSince = std::max(0, target.mSentSince - 1);
+    target.mSentSinceReport = std::max(0, target.mSentSinceReport - 1);
   }
   if (aEnd.mKind == EndKind::Answered && !aEnd.mMisdirected) {
     NoteLimit(aState, aNow, target, aAttempt, aEnd, aOut);
   }
   if (aEnd.mMisdirected) {
     NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "address_taken", aOut);
+    MarkUnavailable(aState, aNow, target, "address_taken", aOut);
     return;
   }
   if (aEnd.mKind == EndKind::NotSent) {
     if (aEnd.mRefused) {
       NoteTargetEnded(aState, aNow, target, aOut);
     }
-    Suspect(aState, aNow, target, "unreachable", aOut);
+    MarkUnavailable(aState, aNow, target, "unreachable", aOut);
     return;
   }
   const bool failed = aEnd.mKind == EndKind::Broken ||
                       (aEnd.mStatus >= kServerError && !aEnd.mNotRun);
   NoteResult(target, failed, aNow);
   if (!failed) {
-    target.mUnreached = 0;
+    target.mConnectFailures = 0;
   }
 }
 
@@ -214,7 +214,7 @@
   const std::string service = request.mService;
   if (aEnd.mKind == EndKind::NotSent) {
     --request.mSent;
-    ++request.mUnreached;
+    ++request.mConnectFailures;
   }
   if (DidNotRun(aEnd)) {
     RetryElsewhere(aState,
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -93,11 +93,11 @@
                          Micros aNow,
                          Request& aRequest,
                          Effects& aOut);
-void Suspect(State& aState,
-             Micros aNow,
-             Target& aTarget,
-             const char* aWhy,
-             Effects& aOut);
+void MarkUnavailable(State& aState,
+                     Micros aNow,
+                     Target& aTarget,
+                     const char* aWhy,
+                     Effects& aOut);
 /// \brief Records a target's load report.
 void TakeReport(Service& aService,
                 Target& aTarget,
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -14,7 +14,7 @@
 constexpr double kSecondLook = 1.25;
 constexpr Micros kHedgeMin = 30 * kMillisecond;
 /// Connection failures after which a request is given up.
-constexpr int kMaxUnreached = 4;
+constexpr int kMaxConnectFailures = 4;
 /// Lifetime of a service-time estimate that causes all requests to be refused.
 constexpr Micros kEstimateLifetime = 1 * kSecond;
 /// Smoothing gain of the interval between dispatches.
@@ -219,7 +219,7 @@
   attempt.mSlowness = aTarget.mReport ? aTarget.mReport->mSlowness : 0;
   attempt.mOccupancy = Occupancy(aTarget, aNow);
   attempt.mSlots = Slots(aTarget);
-  attempt.mCold = aNow < aTarget.mWarmAt;
+  attempt.mCold = aNow < aTarget.mWarmUpEnd;
   attempt.mReportAge = aTarget.mReport ? aNow - aTarget.mReportAt : -1;
   attempt.mLargeBytes = LargeBytes(aState, need);
   aState.mLargeBytes += attempt.mLargeBytes;
@@ -227,7 +227,7 @@
     rate_share::Take(aTarget.mShare, aNow);
   }
   ++aTarget.mRunning;
-  ++aTarget.mSentSince;
+  ++aTarget.mSentSinceReport;
   ++aRequest.mSent;
   aRequest.mTried.insert(aTarget.mId);
   aRequest.mHedging = false;
@@ -264,7 +264,7 @@
   const bool repeatable =
     policy::IsIdempotent(aRequest.mKind) || !aRequest.mMayHaveRun;
   const bool room = aRequest.mSent < aRequest.mMaxAttempts &&
-                    aRequest.mUnreached < kMaxUnreached;
+                    aRequest.mConnectFailures < kMaxConnectFailures;
   const Need need = NeedOf(aState, aRequest);
   const bool time = aNow + need.mWork < aRequest.mDeadline;
   if (!repeatable || !room || !time) {
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -112,7 +112,7 @@
   target.mDataCentre = aRecord.data_centre();
   target.mRelease = aRecord.release();
   target.mSlots = std::max<int>(1, static_cast<int>(aRecord.slots()));
-  target.mWarmAt =
+  target.mWarmUpEnd =
     aNow + static_cast<Micros>(aRecord.warm_up_ms()) * kMillisecond;
   Service& service = aState.mServices[aRecord.service()];
   service.mTargets.push_back(target.mId);
@@ -142,16 +142,16 @@
   }
 }
 
-void Revive(Target& aTarget, Effects& aOut)
+void MarkAvailable(Target& aTarget, Effects& aOut)
 {
-  if (aTarget.mSuspect) {
+  if (aTarget.mUnavailable) {
     Log(aOut,
         1,
         "event=target_regained target=" + aTarget.mId +
           " service=" + aTarget.mService);
   }
-  aTarget.mSuspect = false;
-  aTarget.mUnreached = 0;
+  aTarget.mUnavailable = false;
+  aTarget.mConnectFailures = 0;
 }
 
 void HandleProbeTimer(State& aState,
@@ -283,20 +283,20 @@
     !aEnd.mAnsweredBy.empty() && aEnd.mAnsweredBy != target.mName;
   if (!aEnd.mAnswered && aEnd.mRefused) {
     NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "probe_refused", aOut);
+    MarkUnavailable(aState, aNow, target, "probe_refused", aOut);
   } else if (!aEnd.mAnswered) {
     if (!AskAboutOpenEnds(aState, aNow, target, aOut)) {
-      Suspect(aState, aNow, target, "probe_unanswered", aOut);
+      MarkUnavailable(aState, aNow, target, "probe_unanswered", aOut);
     }
   } else if (other) {
     NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "address_taken", aOut);
+    MarkUnavailable(aState, aNow, target, "address_taken", aOut);
   } else if (!aEnd.mHealthy) {
-    Suspect(aState, aNow, target, "says_ill", aOut);
+    MarkUnavailable(aState, aNow, target, "says_ill", aOut);
   } else {
     target.mProbeRoundTrip +=
       (aNow - target.mProbeSentAt - target.mProbeRoundTrip) / 4;
-    Revive(target, aOut);
+    MarkAvailable(target, aOut);
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
       TakeReport(known, target, *aEnd.mReport, aNow);
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -502,7 +502,7 @@
   {
     AddTargets(8);
     for (int i = 1; i < 8; ++i) {
-      mState.mTargets.at(Name(i)).mSuspect = true;
+      mState.mTargets.at(Name(i)).mUnavailable = true;
     }
     // Longer than the objective: late from the start.
     mState.mStatistics["/safe/"].mWork = 400.0 * kMillisecond;
@@ -564,7 +564,7 @@
     const Target& target = mState.mTargets.at(again);
     CPPUNIT_ASSERT_EQUAL(0, target.mRunning);
     CPPUNIT_ASSERT_EQUAL(0.0, target.mFailureShare);
-    CPPUNIT_ASSERT(target.mWarmAt > mNow);
+    CPPUNIT_ASSERT(target.mWarmUpEnd > mNow);
     Arrive("/safe/x");
     AnswerProbe(again, { 0, 0, 2, 1 }, Name(0));
     const SendRequest after = All<SendRequest>(mEffects).back();
