--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -57,7 +57,7 @@
 };
 
 /// \brief A request whose answer broke at a target that may have ended.
-struct OpenEnd
+struct BrokenAnswer
 {
   std::uint64_t mIdentity = 0;
   Micros mBrokenAt = 0;
@@ -109,7 +109,7 @@
   /// At the last probe or request its address refused connections or belonged
   /// to another target.
   bool mEnded = false;
-  std::vector<OpenEnd> mOpenEnds;
+  std::vector<BrokenAnswer> mBrokenAnswers;
 };
 
 /// \brief Requests and extra attempts of one service within the sliding window
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -14,14 +14,14 @@
 
 /// A target that has neither refused a connection nor answered within this time
 /// is treated as unreachable, not as ended.
-constexpr Micros kOpenEndTime = 3 * kSecond;
-constexpr std::size_t kMostOpenEnds = 64;
+constexpr Micros kBrokenAnswerLifetime = 3 * kSecond;
+constexpr std::size_t kMaxBrokenAnswers = 64;
 /// Interval at which an answer is reported to other hosts again; well below the
 /// time for which it counts.
-constexpr Micros kAnswerPace = 5 * kSecond;
+constexpr Micros kAnswerReportInterval = 5 * kSecond;
 constexpr std::size_t kIdentityDigits = 16;
 /// Value of an answer fact that stands for a release by an operator.
-constexpr const char* kReleased = "released";
+constexpr const char* kReleasedValue = "released";
 
 void LogVerdict(const State& aState,
                 std::uint64_t aIdentity,
@@ -71,7 +71,7 @@
 {
   const auto found = aState.mQuarantine.mRecords.find(aIdentity);
   if (found == aState.mQuarantine.mRecords.end() ||
-      aAt < found->second.mAnsweredAt + kAnswerPace) {
+      aAt < found->second.mAnsweredAt + kAnswerReportInterval) {
     return;
   }
   quarantine::NoteAnswer(aState.mQuarantine, aIdentity, aAt);
@@ -79,11 +79,11 @@
     { gossip::Kind::RequestAnswered, Hexadecimal(aIdentity), "", aAt } });
 }
 
-void ConfirmEnd(State& aState,
-                Micros aNow,
-                const Target& aTarget,
-                std::uint64_t aIdentity,
-                Effects& aOut)
+void RecordCrash(State& aState,
+                 Micros aNow,
+                 const Target& aTarget,
+                 std::uint64_t aIdentity,
+                 Effects& aOut)
 {
   ++aState.mCounters["requests_at_ended_targets"];
   const quarantine::Crash crash{ aTarget.mId, aTarget.mRelease, aNow };
@@ -109,7 +109,7 @@
 }
 
 // A target that crashed without withdrawing stays in the catalog.
-std::set<std::string> ReleasesThatRun(const State& aState,
+std::set<std::string> RunningReleases(const State& aState,
                                       const std::string& aService,
                                       const quarantine::Record& aRecord)
 {
@@ -129,12 +129,12 @@
 
 } // namespace
 
-void NoteBroken(State& aState,
-                Micros aNow,
-                const Request& aRequest,
-                const Attempt& aAttempt,
-                const AttemptEnd& aEnd,
-                Effects& aOut)
+void HandleBrokenAnswer(State& aState,
+                        Micros aNow,
+                        const Request& aRequest,
+                        const Attempt& aAttempt,
+                        const AttemptEnd& aEnd,
+                        Effects& aOut)
 {
   ++aState.mCounters["attempts_broken"];
   Log(aOut,
@@ -148,20 +148,21 @@
   }
   Target& target = found->second;
   if (target.mEnded) {
-    ConfirmEnd(aState, aNow, target, aRequest.mIdentity, aOut);
+    RecordCrash(aState, aNow, target, aRequest.mIdentity, aOut);
     return;
   }
-  if (target.mOpenEnds.size() < kMostOpenEnds) {
-    target.mOpenEnds.push_back({ aRequest.mIdentity, aNow });
+  if (target.mBrokenAnswers.size() < kMaxBrokenAnswers) {
+    target.mBrokenAnswers.push_back({ aRequest.mIdentity, aNow });
   }
   if (!target.mProbing) {
     ProbeNow(aState, aNow, target, aOut);
   }
 }
 
-void NoteTargetEnded(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void HandleTargetEnd(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
-  const std::vector<OpenEnd> ends = std::exchange(aTarget.mOpenEnds, {});
+  const std::vector<BrokenAnswer> ends =
+    std::exchange(aTarget.mBrokenAnswers, {});
   if (!aTarget.mEnded) {
     ++aState.mCounters["targets_ended"];
     Log(aOut,
@@ -170,24 +171,24 @@
           aTarget.mService + " requests=" + std::to_string(ends.size()));
   }
   aTarget.mEnded = true;
-  for (const OpenEnd& end : ends) {
-    if (aNow - end.mBrokenAt <= kOpenEndTime) {
-      ConfirmEnd(aState, aNow, aTarget, end.mIdentity, aOut);
+  for (const BrokenAnswer& end : ends) {
+    if (aNow - end.mBrokenAt <= kBrokenAnswerLifetime) {
+      RecordCrash(aState, aNow, aTarget, end.mIdentity, aOut);
     }
   }
 }
 
-bool AskAboutOpenEnds(State& aState,
-                      Micros aNow,
-                      Target& aTarget,
-                      Effects& aOut)
+bool ProbeAfterBrokenAnswers(State& aState,
+                             Micros aNow,
+                             Target& aTarget,
+                             Effects& aOut)
 {
   const bool open =
-    std::any_of(aTarget.mOpenEnds.begin(),
-                aTarget.mOpenEnds.end(),
-                [&](const OpenEnd& aEnd) {
+    std::any_of(aTarget.mBrokenAnswers.begin(),
+                aTarget.mBrokenAnswers.end(),
+                [&](const BrokenAnswer& aEnd) {
                   return aEnd.mBrokenAt > aTarget.mProbeSentAt &&
-                         aNow - aEnd.mBrokenAt <= kOpenEndTime;
+                         aNow - aEnd.mBrokenAt <= kBrokenAnswerLifetime;
                 });
   if (open) {
     ProbeNow(aState, aNow, aTarget, aOut);
@@ -195,20 +196,23 @@
   return open;
 }
 
-void NoteTargetLives(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void HandleTargetAlive(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Effects& aOut)
 {
   aTarget.mEnded = false;
-  auto& ends = aTarget.mOpenEnds;
+  auto& ends = aTarget.mBrokenAnswers;
   ends.erase(std::remove_if(ends.begin(),
                             ends.end(),
-                            [&](const OpenEnd& aEnd) {
+                            [&](const BrokenAnswer& aEnd) {
                               return aEnd.mBrokenAt <= aTarget.mProbeSentAt;
                             }),
              ends.end());
-  (void)AskAboutOpenEnds(aState, aNow, aTarget, aOut);
+  (void)ProbeAfterBrokenAnswers(aState, aNow, aTarget, aOut);
 }
 
-void NoteAnswered(State& aState,
+void RecordAnswer(State& aState,
                   Micros aNow,
                   std::uint64_t aIdentity,
                   Effects& aOut)
@@ -217,10 +221,10 @@
   TellAnswer(aState, aIdentity, aNow, aOut);
 }
 
-quarantine::Verdict JudgeRequest(const State& aState,
-                                 std::uint64_t aIdentity,
-                                 const std::string& aService,
-                                 Micros aNow)
+quarantine::Verdict JudgeQuarantine(const State& aState,
+                                    std::uint64_t aIdentity,
+                                    const std::string& aService,
+                                    Micros aNow)
 {
   const auto found = aState.mQuarantine.mRecords.find(aIdentity);
   if (found == aState.mQuarantine.mRecords.end()) {
@@ -229,13 +233,13 @@
   return quarantine::Judge(aState.mQuarantine,
                            aIdentity,
                            aNow,
-                           ReleasesThatRun(aState, aService, found->second));
+                           RunningReleases(aState, aService, found->second));
 }
 
-void NoteTried(State& aState,
-               Micros aNow,
-               std::uint64_t aIdentity,
-               Effects& aOut)
+void RenewQuarantine(State& aState,
+                     Micros aNow,
+                     std::uint64_t aIdentity,
+                     Effects& aOut)
 {
   for (const quarantine::Crash& crash :
        quarantine::Renew(aState.mQuarantine, aIdentity, aNow)) {
@@ -256,7 +260,7 @@
   Log(aOut, 2, "event=request_released identity=" + Hexadecimal(aIdentity));
   aOut.emplace_back(TellFleet{ { gossip::Kind::RequestAnswered,
                                  Hexadecimal(aIdentity),
-                                 kReleased,
+                                 kReleasedValue,
                                  aNow } });
   return true;
 }
@@ -285,7 +289,7 @@
 void TakeAnswerFact(State& aState, const gossip::Item& aItem)
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
-  if (aItem.mValue == kReleased) {
+  if (aItem.mValue == kReleasedValue) {
     quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mSeenAt);
   } else {
     quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mSeenAt);
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -151,13 +151,13 @@
     NoteLimit(aState, aNow, target, aAttempt, aEnd, aOut);
   }
   if (aEnd.mMisdirected) {
-    NoteTargetEnded(aState, aNow, target, aOut);
+    HandleTargetEnd(aState, aNow, target, aOut);
     MarkUnavailable(aState, aNow, target, "address_taken", aOut);
     return;
   }
   if (aEnd.mKind == EndKind::NotSent) {
     if (aEnd.mRefused) {
-      NoteTargetEnded(aState, aNow, target, aOut);
+      HandleTargetEnd(aState, aNow, target, aOut);
     }
     MarkUnavailable(aState, aNow, target, "unreachable", aOut);
     return;
@@ -203,9 +203,9 @@
   aState.mLargeBytes -= attempt.mLargeBytes;
   RemoveAttempt(request, attempt.mNumber);
   if (aEnd.mKind == EndKind::Broken) {
-    NoteBroken(aState, aNow, request, attempt, aEnd, aOut);
+    HandleBrokenAnswer(aState, aNow, request, attempt, aEnd, aOut);
   } else if (!DidNotRun(aEnd) && aEnd.mStatus < kServerError) {
-    NoteAnswered(aState, aNow, request.mIdentity, aOut);
+    RecordAnswer(aState, aNow, request.mIdentity, aOut);
   }
   if (request.mDetached) {
     EndDetached(aState, aNow, request, aEnd, aOut);
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -124,40 +124,40 @@
 [[nodiscard]] Micros RetryAfter(State& aState, Micros aExpectedWait);
 
 // --- crashes.cpp: targets that end, and the requests they were running
-void NoteBroken(State& aState,
-                Micros aNow,
-                const Request& aRequest,
-                const Attempt& aAttempt,
-                const AttemptEnd& aEnd,
-                Effects& aOut);
+void HandleBrokenAnswer(State& aState,
+                        Micros aNow,
+                        const Request& aRequest,
+                        const Attempt& aAttempt,
+                        const AttemptEnd& aEnd,
+                        Effects& aOut);
 /// \brief The target's address refuses connections, or another target uses it
 /// now.
-void NoteTargetEnded(State& aState,
+void HandleTargetEnd(State& aState,
                      Micros aNow,
                      Target& aTarget,
                      Effects& aOut);
 /// \brief The target has answered a probe.
-void NoteTargetLives(State& aState,
-                     Micros aNow,
-                     Target& aTarget,
-                     Effects& aOut);
+void HandleTargetAlive(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Effects& aOut);
 /// \brief Probes again when answers broke after the last probe was sent; true
 /// when it did.
-bool AskAboutOpenEnds(State& aState,
-                      Micros aNow,
-                      Target& aTarget,
-                      Effects& aOut);
+bool ProbeAfterBrokenAnswers(State& aState,
+                             Micros aNow,
+                             Target& aTarget,
+                             Effects& aOut);
 /// \brief Records that a target answered this request.
-void NoteAnswered(State& aState,
+void RecordAnswer(State& aState,
                   Micros aNow,
                   std::uint64_t aIdentity,
                   Effects& aOut);
 /// \brief Renews the quarantine of a request that was submitted again and
 /// refused.
-void NoteTried(State& aState,
-               Micros aNow,
-               std::uint64_t aIdentity,
-               Effects& aOut);
+void RenewQuarantine(State& aState,
+                     Micros aNow,
+                     std::uint64_t aIdentity,
+                     Effects& aOut);
 /// \brief Handles another host's report of a target that ended under a request.
 void TakeCrashFact(State& aState,
                    Micros aNow,
@@ -166,10 +166,10 @@
 /// \brief Handles another host's report that a request was answered or released
 /// by an operator.
 void TakeAnswerFact(State& aState, const gossip::Item& aItem);
-[[nodiscard]] quarantine::Verdict JudgeRequest(const State& aState,
-                                               std::uint64_t aIdentity,
-                                               const std::string& aService,
-                                               Micros aNow);
+[[nodiscard]] quarantine::Verdict JudgeQuarantine(const State& aState,
+                                                  std::uint64_t aIdentity,
+                                                  const std::string& aService,
+                                                  Micros aNow);
 
 // --- limits.cpp: request rates that targets state for all hosts together
 /// \brief Handles a stated limit in an answer, readable or not.
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -361,13 +361,13 @@
     return;
   }
   const quarantine::Verdict verdict =
-    JudgeRequest(aState, request.mIdentity, request.mService, aNow);
+    JudgeQuarantine(aState, request.mIdentity, request.mService, aNow);
   const bool elsewhere =
     verdict == quarantine::Verdict::OnTrial &&
     !rate_share::IsFirst(aState.mSharers, Hexadecimal(request.mIdentity));
   if (verdict == quarantine::Verdict::Quarantined || elsewhere) {
     // The quarantine outlasts the client's timeout, so no Retry-After is given.
-    NoteTried(aState, aNow, request.mIdentity, aOut);
+    RenewQuarantine(aState, aNow, request.mIdentity, aOut);
     RefuseArrival(aState, aArrival, kUnavailable, 0, "quarantined", aOut);
     return;
   }
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -282,14 +282,14 @@
   const bool other =
     !aEnd.mAnsweredBy.empty() && aEnd.mAnsweredBy != target.mName;
   if (!aEnd.mAnswered && aEnd.mRefused) {
-    NoteTargetEnded(aState, aNow, target, aOut);
+    HandleTargetEnd(aState, aNow, target, aOut);
     MarkUnavailable(aState, aNow, target, "probe_refused", aOut);
   } else if (!aEnd.mAnswered) {
-    if (!AskAboutOpenEnds(aState, aNow, target, aOut)) {
+    if (!ProbeAfterBrokenAnswers(aState, aNow, target, aOut)) {
       MarkUnavailable(aState, aNow, target, "probe_unanswered", aOut);
     }
   } else if (other) {
-    NoteTargetEnded(aState, aNow, target, aOut);
+    HandleTargetEnd(aState, aNow, target, aOut);
     MarkUnavailable(aState, aNow, target, "address_taken", aOut);
   } else if (!aEnd.mHealthy) {
     MarkUnavailable(aState, aNow, target, "says_ill", aOut);
@@ -312,7 +312,7 @@
     if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
       TakeLimit(aState, aNow, target, aEnd.mLimit, aOut);
     }
-    NoteTargetLives(aState, aNow, target, aOut);
+    HandleTargetAlive(aState, aNow, target, aOut);
   }
   ServeQueue(aState, aNow, service, aOut);
 }
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -113,7 +113,7 @@
   Service& service = aState.mServices[aRequest.mService];
   const bool extra = aRequest.mSent > 0;
   const quarantine::Verdict verdict =
-    JudgeRequest(aState, aRequest.mIdentity, aRequest.mService, aNow);
+    JudgeQuarantine(aState, aRequest.mIdentity, aRequest.mService, aNow);
   if (aRequest.mHedging && verdict != quarantine::Verdict::Clear) {
     StopHedging(aState, aNow, aRequest);
     return;
