--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -141,7 +141,7 @@
   return 1 - (1 - aService.mLateServed) * std::exp2(-age / kLateHalfLife);
 }
 
-void NoteLate(Service& aService, bool aServed, Micros aNow)
+void RecordLateOutcome(Service& aService, bool aServed, Micros aNow)
 {
   const double share = LateServed(aService, aNow);
   aService.mLateServed = share + kLateGain * ((aServed ? 1 : 0) - share);
@@ -196,7 +196,7 @@
   Service& service = aState.mServices[aRequest.mService];
   if (aBest != nullptr &&
       HasSpareRoom(aState, aCache, aRequest, aNeed, *aBest, aNow)) {
-    NoteLate(service, true, aNow);
+    RecordLateOutcome(service, true, aNow);
     return { Verdict::Send, aBest };
   }
   if (LateServed(service, aNow) < kWorthWaiting) {
@@ -205,7 +205,7 @@
   if (aNow < GiveUpAt(aRequest, aNeed)) {
     return { Verdict::LookAgain, nullptr };
   }
-  NoteLate(service, false, aNow);
+  RecordLateOutcome(service, false, aNow);
   return { Verdict::OutOfTime, nullptr };
 }
 
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -144,7 +144,7 @@
   return aTarget.mFailureShare * std::exp2(-age / kFailureHalfLife);
 }
 
-void NoteResult(Target& aTarget, bool aFailed, Micros aNow) noexcept
+void RecordResult(Target& aTarget, bool aFailed, Micros aNow) noexcept
 {
   const double share = FailureShare(aTarget, aNow);
   aTarget.mFailureShare = share + kFailureGain * ((aFailed ? 1 : 0) - share);
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -164,7 +164,7 @@
   }
   const bool failed = aEnd.mKind == EndKind::Broken ||
                       (aEnd.mStatus >= kServerError && !aEnd.mNotRun);
-  NoteResult(target, failed, aNow);
+  RecordResult(target, failed, aNow);
   if (!failed) {
     target.mConnectFailures = 0;
   }
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -63,7 +63,7 @@
                             const Need& aNeed,
                             Micros aNow) noexcept;
 [[nodiscard]] double FailureShare(const Target& aTarget, Micros aNow) noexcept;
-void NoteResult(Target& aTarget, bool aFailed, Micros aNow) noexcept;
+void RecordResult(Target& aTarget, bool aFailed, Micros aNow) noexcept;
 
 /// \brief Bytes of an answer that take a noticeable time on the host's link; 0
 /// for a small answer.
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -37,7 +37,7 @@
 
 // The interval between dispatches reflects the queue's speed only while
 // requests are queued.
-void NoteDispatch(Service& aService, Micros aNow)
+void RecordDispatch(Service& aService, Micros aNow)
 {
   const bool busy = !aService.mWaiting.empty();
   if (busy && aService.mWasBusy) {
@@ -65,7 +65,7 @@
   for (const Attempt& attempt : aRequest.mAttempts) {
     const auto target = aState.mTargets.find(attempt.mTarget);
     if (target != aState.mTargets.end()) {
-      NoteResult(target->second, true, aNow);
+      RecordResult(target->second, true, aNow);
     }
   }
   Refuse(aState, aNow, aRequest.mId, kGatewayTimeout, 0, "deadline", aOut);
@@ -237,7 +237,7 @@
   aRequest.mHedgeAt = idempotent && aRequest.mSent < aRequest.mMaxAttempts
                         ? aNow + std::max(kHedgeMin, patience)
                         : 0;
-  NoteDispatch(aState.mServices[aRequest.mService], aNow);
+  RecordDispatch(aState.mServices[aRequest.mService], aNow);
   Log(aOut,
       1,
       "event=sent" + Describe(aState, aRequest, aNow) + Describe(attempt));
