--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -173,22 +173,22 @@
   std::vector<std::string> mSubset;
   /// Targets that reported their load lately, each once; may include removed
   /// ones.
-  std::deque<std::string> mReported;
+  std::deque<std::string> mRecentReporters;
   std::set<WaitKey> mWaiting;
   ExtraWindow mExtra;
   /// False once a target answered a probe without a load report.
-  bool mTellsLoad = true;
+  bool mReportsLoad = true;
   /// Smoothed share of probes that found a target with spare capacity.
-  double mRoomShare = 0.5;
+  double mSpareCapacityShare = 0.5;
   LoadCurve mCurve;
   SpeedStatistics mSpeeds;
   /// Factor by which work takes longer at a target that has just started; 2
   /// until some have answered.
   double mColdStretch = 2;
   /// Smoothed share of late requests that waited and found spare capacity, as
-  /// of mLateAt.
-  double mLateServed = 1;
-  Micros mLateAt = 0;
+  /// of mLateServedAt.
+  double mLateServedShare = 1;
+  Micros mLateServedAt = 0;
   /// Smoothed interval between dispatches while requests wait.
   double mDispatchInterval = 0;
   Micros mDispatchedAt = 0;
--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -26,7 +26,7 @@
   std::vector<Target*> usable;
   for (const std::string& id : aIds) {
     Target& target = aState.mTargets[id];
-    if (target.mUnavailable == aUnavailable && HasRoomInLimit(target, aNow) &&
+    if (target.mUnavailable == aUnavailable && IsWithinLimit(target, aNow) &&
         aRequest.mTried.count(id) == 0 && aRequest.mProbed.count(id) == 0) {
       usable.push_back(&target);
     }
@@ -94,7 +94,7 @@
 // with spare capacity.
 std::size_t WantedProbes(const Service& aService)
 {
-  const double share = std::clamp(aService.mRoomShare, 0.05, 0.95);
+  const double share = std::clamp(aService.mSpareCapacityShare, 0.05, 0.95);
   const double count = std::ceil(std::log(kMaxMissShare) / std::log(1 - share));
   return std::clamp(static_cast<std::size_t>(count), kMinProbes, kMaxProbes);
 }
@@ -171,7 +171,7 @@
                      Effects& aOut)
 {
   Service& service = aState.mServices[aRequest.mService];
-  if (!service.mTellsLoad) {
+  if (!service.mReportsLoad) {
     return false;
   }
   Micros patience = 0;
--- a/src/dispatch/choice.h
+++ b/src/dispatch/choice.h
@@ -32,7 +32,7 @@
   std::map<std::pair<Micros, double>, Target*> mBest;
   /// Number of targets with spare capacity, and of usable targets; invalidated
   /// likewise.
-  std::optional<std::size_t> mRoom;
+  std::optional<std::size_t> mWithSpareCapacity;
   std::optional<std::size_t> mUsable;
 
   /// \brief Drops the cached values after a request was sent to one of the
@@ -40,7 +40,7 @@
   void Invalidate()
   {
     mBest.clear();
-    mRoom.reset();
+    mWithSpareCapacity.reset();
     mUsable.reset();
   }
 };
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -18,14 +18,14 @@
 /// Targets with spare capacity that a late request must see before it takes one
 /// of them. Of eight probed targets, on-time requests also find fewer than
 /// this.
-constexpr std::size_t kRoomForLate = 3;
+constexpr std::size_t kSpareTargetsForLate = 3;
 /// Share of recent late requests that must have found spare capacity for
 /// another one to wait for it; smoothed over five requests, with the half-life
 /// below. With short deadlines during an overload waiting is useless; with long
 /// deadlines most late requests find capacity once the overload ends.
-constexpr double kWorthWaiting = 0.7;
-constexpr double kLateGain = 0.2;
-constexpr double kLateHalfLife = 4.0 * kSecond;
+constexpr double kMinLateServedShare = 0.7;
+constexpr double kLateServedGain = 0.2;
+constexpr double kLateServedHalfLife = 4.0 * kSecond;
 /// A late request that finds no capacity is refused while this share of its
 /// time is left, so that its client can retry and be served elsewhere. A
 /// refusal at the deadline leaves the client no time to retry.
@@ -33,7 +33,7 @@
 /// Above this share of probed targets with spare capacity, a target may be
 /// loaded beyond its most efficient concurrency, because the next request will
 /// find another target.
-constexpr double kAmpleRoom = 0.6;
+constexpr double kAmpleSpareCapacity = 0.6;
 /// Service time assumed for a route without answers yet, as a share of its
 /// latency objective.
 constexpr double kFirstWork = 0.35;
@@ -56,7 +56,7 @@
   Target* best = nullptr;
   double bestCost = std::numeric_limits<double>::max();
   for (Target* target : aTargets) {
-    if (target->mUnavailable || !HasRoomInLimit(*target, aNow) ||
+    if (target->mUnavailable || !IsWithinLimit(*target, aNow) ||
         aRequest.mTried.count(target->mId) != 0) {
       continue;
     }
@@ -96,25 +96,27 @@
   return std::any_of(
     targets.begin(), targets.end(), [&](const std::string& aId) {
       return aRequest.mTried.count(aId) == 0 &&
-             MayEverTake(aState.mTargets.at(aId));
+             HasLimitShare(aState.mTargets.at(aId));
     });
 }
 
 // Targets with a fresh report that would serve one more request at close to
 // their usual speed.
-std::size_t RoomSeen(PassCache& aCache, const Need& aNeed, Micros aNow)
+std::size_t CountWithSpareCapacity(PassCache& aCache,
+                                   const Need& aNeed,
+                                   Micros aNow)
 {
-  if (aCache.mRoom) {
-    return *aCache.mRoom;
+  if (aCache.mWithSpareCapacity) {
+    return *aCache.mWithSpareCapacity;
   }
   const auto has = [&](const Target* aTarget) {
-    return !aTarget->mUnavailable && HasRoomInLimit(*aTarget, aNow) &&
+    return !aTarget->mUnavailable && IsWithinLimit(*aTarget, aNow) &&
            IsUncrowded(*aTarget, aNeed.mService->mCurve, aNow) &&
            aTarget->mReport->mSlowness <= kUsualSlowness;
   };
-  aCache.mRoom = static_cast<std::size_t>(
+  aCache.mWithSpareCapacity = static_cast<std::size_t>(
     std::count_if(aCache.mFresh.begin(), aCache.mFresh.end(), has));
-  return *aCache.mRoom;
+  return *aCache.mWithSpareCapacity;
 }
 
 // Fewer targets with spare capacity suffice for a late request where only few
@@ -130,22 +132,24 @@
   aCache.mUsable = static_cast<std::size_t>(
     std::count_if(subset.begin(), subset.end(), [&](const std::string& aId) {
       const Target& target = aState.mTargets.at(aId);
-      return !target.mUnavailable && MayEverTake(target);
+      return !target.mUnavailable && HasLimitShare(target);
     }));
   return *aCache.mUsable;
 }
 
-double LateServed(const Service& aService, Micros aNow)
+double LateServedShare(const Service& aService, Micros aNow)
 {
-  const double age = static_cast<double>(aNow - aService.mLateAt);
-  return 1 - (1 - aService.mLateServed) * std::exp2(-age / kLateHalfLife);
+  const double age = static_cast<double>(aNow - aService.mLateServedAt);
+  return 1 - (1 - aService.mLateServedShare) *
+               std::exp2(-age / kLateServedHalfLife);
 }
 
 void RecordLateOutcome(Service& aService, bool aServed, Micros aNow)
 {
-  const double share = LateServed(aService, aNow);
-  aService.mLateServed = share + kLateGain * ((aServed ? 1 : 0) - share);
-  aService.mLateAt = aNow;
+  const double share = LateServedShare(aService, aNow);
+  aService.mLateServedShare =
+    share + kLateServedGain * ((aServed ? 1 : 0) - share);
+  aService.mLateServedAt = aNow;
 }
 
 // A hedged attempt is for a request that is late or about to be. The first
@@ -162,24 +166,24 @@
                : Choice{ Verdict::OutOfTime, nullptr };
 }
 
-bool HasSpareRoom(const State& aState,
-                  PassCache& aCache,
-                  const Request& aRequest,
-                  const Need& aNeed,
-                  const Target& aTarget,
-                  Micros aNow)
+bool HasSpareCapacity(const State& aState,
+                      PassCache& aCache,
+                      const Request& aRequest,
+                      const Need& aNeed,
+                      const Target& aTarget,
+                      Micros aNow)
 {
   if (ExpectedTime(aTarget, aNeed, aNow) > aRequest.mDeadline - aNow) {
     return false;
   }
-  if (!aNeed.mService->mTellsLoad) {
+  if (!aNeed.mService->mReportsLoad) {
     return HasFreeSlot(aTarget, aNow);
   }
   const std::size_t wanted =
-    std::min(kRoomForLate, UsableTargets(aState, aCache, aRequest));
+    std::min(kSpareTargetsForLate, UsableTargets(aState, aCache, aRequest));
   return IsFresh(aTarget, aNow) &&
          IsUncrowded(aTarget, aNeed.mService->mCurve, aNow) &&
-         RoomSeen(aCache, aNeed, aNow) >= wanted;
+         CountWithSpareCapacity(aCache, aNeed, aNow) >= wanted;
 }
 
 // A request that has missed its latency objective takes only capacity that
@@ -195,11 +199,11 @@
 {
   Service& service = aState.mServices[aRequest.mService];
   if (aBest != nullptr &&
-      HasSpareRoom(aState, aCache, aRequest, aNeed, *aBest, aNow)) {
+      HasSpareCapacity(aState, aCache, aRequest, aNeed, *aBest, aNow)) {
     RecordLateOutcome(service, true, aNow);
     return { Verdict::Send, aBest };
   }
-  if (LateServed(service, aNow) < kWorthWaiting) {
+  if (LateServedShare(service, aNow) < kMinLateServedShare) {
     return { Verdict::OutOfTime, nullptr };
   }
   if (aNow < GiveUpAt(aRequest, aNeed)) {
@@ -254,7 +258,7 @@
     return { Verdict::Send, unused };
   }
   const Service& service = *aNeed.mService;
-  const bool tells = service.mTellsLoad;
+  const bool tells = service.mReportsLoad;
   // A late request gets one round of probes: requests that are on time need the
   // probe budget.
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
@@ -264,7 +268,7 @@
                    : Best(AllTargets(aState, service), aRequest, aNeed, aNow);
   if (best != nullptr && HasFreeSlot(*best, aNow) &&
       (IsUncrowded(*best, aNeed.mService->mCurve, aNow) ||
-       aNeed.mService->mRoomShare > kAmpleRoom) &&
+       aNeed.mService->mSpareCapacityShare > kAmpleSpareCapacity) &&
       aNow + ExpectedTime(*best, aNeed, aNow) <= aRequest.mObjectiveAt) {
     return { Verdict::Send, best };
   }
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -101,7 +101,7 @@
   return Occupancy(aTarget, aNow) + 1 <= limit;
 }
 
-bool TellsOfRoom(const Report& aReport, const LoadCurve& aCurve) noexcept
+bool ShowsSpareCapacity(const Report& aReport, const LoadCurve& aCurve) noexcept
 {
   const int occupancy = aReport.mRunning + aReport.mWaiting;
   return aReport.mSlowness <= kUsualSlowness &&
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -55,8 +55,8 @@
                                Micros aNow) noexcept;
 /// \brief True when a report shows usual speed and spare capacity for one more
 /// request.
-[[nodiscard]] bool TellsOfRoom(const Report& aReport,
-                               const LoadCurve& aCurve) noexcept;
+[[nodiscard]] bool ShowsSpareCapacity(const Report& aReport,
+                                      const LoadCurve& aCurve) noexcept;
 /// \brief Cost by which targets are ranked: the expected time, increased for
 /// targets that fail and for answers that cross between data centres.
 [[nodiscard]] double CostOf(const Target& aTarget,
@@ -193,9 +193,9 @@
 /// \brief Applies a limit that was reported before the target was known.
 void TakeEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut);
 /// \brief True unless this host's share of the limit is used up now.
-[[nodiscard]] bool HasRoomInLimit(const Target& aTarget, Micros aNow) noexcept;
+[[nodiscard]] bool IsWithinLimit(const Target& aTarget, Micros aNow) noexcept;
 /// \brief True unless the target has a limit of which this host has no share.
-[[nodiscard]] bool MayEverTake(const Target& aTarget) noexcept;
+[[nodiscard]] bool HasLimitShare(const Target& aTarget) noexcept;
 
 // --- learning.cpp: statistics from answers and reports
 /// \brief Factor by which work takes longer when it starts beside `aOccupancy`
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -154,12 +154,12 @@
   }
 }
 
-bool HasRoomInLimit(const Target& aTarget, Micros aNow) noexcept
+bool IsWithinLimit(const Target& aTarget, Micros aNow) noexcept
 {
   return !aTarget.mLimit || rate_share::HasRoom(aTarget.mShare, aNow);
 }
 
-bool MayEverTake(const Target& aTarget) noexcept
+bool HasLimitShare(const Target& aTarget) noexcept
 {
   return !aTarget.mLimit || aTarget.mShare.mPart > 0;
 }
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -17,7 +17,7 @@
 constexpr double kProbeBurstSeconds = 3;
 /// Smoothing gain of the share of targets with spare capacity: about the probes
 /// of ten requests.
-constexpr double kRoomGain = 0.02;
+constexpr double kSpareCapacityGain = 0.02;
 /// Delay before a new target is probed, and then only if it is still in the
 /// subset: during a rollout subsets change with each announcement.
 constexpr Micros kMeetPause = 2 * kSecond;
@@ -261,7 +261,7 @@
     const Micros gap = aNow - aTarget.mReportAt;
     LearnSpeed(aService.mSpeeds, *aTarget.mReport, gap, aReport);
   }
-  auto& reported = aService.mReported;
+  auto& reported = aService.mRecentReporters;
   if (std::find(reported.begin(), reported.end(), aTarget.mId) ==
       reported.end()) {
     reported.push_back(aTarget.mId);
@@ -300,10 +300,11 @@
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
       TakeReport(known, target, *aEnd.mReport, aNow);
-      const bool room = TellsOfRoom(*aEnd.mReport, known.mCurve);
-      known.mRoomShare += kRoomGain * ((room ? 1 : 0) - known.mRoomShare);
+      const bool room = ShowsSpareCapacity(*aEnd.mReport, known.mCurve);
+      known.mSpareCapacityShare +=
+        kSpareCapacityGain * ((room ? 1 : 0) - known.mSpareCapacityShare);
     } else {
-      aState.mServices[service].mTellsLoad = false;
+      aState.mServices[service].mReportsLoad = false;
     }
   }
   if (aEnd.mAnswered && !other) {
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -44,14 +44,14 @@
 {
   std::vector<Target*> fresh;
   std::deque<std::string> reported;
-  for (std::string& id : aService.mReported) {
+  for (std::string& id : aService.mRecentReporters) {
     const auto found = aState.mTargets.find(id);
     if (found != aState.mTargets.end() && IsFresh(found->second, aNow)) {
       fresh.push_back(&found->second);
       reported.push_back(std::move(id));
     }
   }
-  aService.mReported = std::move(reported);
+  aService.mRecentReporters = std::move(reported);
   return fresh;
 }
 
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -646,7 +646,7 @@
     }
     AnswerProbe(Name(0), { 0, 0, 2, 1 });
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         mState.mServices["service"].mReported.size());
+                         mState.mServices["service"].mRecentReporters.size());
   }
 
   void SubsetsOfManyHostsHoldEveryTargetAboutEquallyOften()
