--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -42,7 +42,7 @@
 
 /// \brief The request rate limit that a target states in an answer, for all
 /// hosts together.
-struct LimitWord
+struct StatedLimit
 {
   enum class Kind
   {
@@ -168,7 +168,7 @@
   std::string mHealthPath;
   std::vector<std::string> mTargets;
   /// Targets with a limit of which this host has a share.
-  std::vector<std::string> mHeld;
+  std::vector<std::string> mLimitedTargets;
   /// The targets that this host probes first; all of them if they are few.
   std::vector<std::string> mSubset;
   /// Targets that reported their load lately, each once; may include removed
@@ -381,7 +381,7 @@
   /// Id of the target that answered; empty if not stated.
   std::string mAnsweredBy;
   std::optional<Report> mReport;
-  LimitWord mLimit;
+  StatedLimit mLimit;
 };
 
 /// \brief How an attempt ended.
@@ -410,7 +410,7 @@
   bool mMisdirected = false;
   std::uint64_t mBytes = 0;
   std::optional<Report> mReport;
-  LimitWord mLimit;
+  StatedLimit mLimit;
   std::string mReason;
 };
 
@@ -463,7 +463,7 @@
   /// Requests that were running at targets when those ended.
   quarantine::State mQuarantine;
   /// The hosts that divide rate limits among themselves; empty while unknown.
-  rate_share::Members mSharers;
+  rate_share::Members mLimitHosts;
   /// Limits of targets that are not known yet.
   std::map<std::string, gossip::Item> mEarlyLimits;
   Counters mCounters;
@@ -488,10 +488,10 @@
 
 /// \brief True while a rate limit has to be divided among the hosts, or a
 /// suspected request assigned to one of them.
-[[nodiscard]] bool NeedsSharers(const State& aState) noexcept;
+[[nodiscard]] bool NeedsLimitHosts(const State& aState) noexcept;
 
 /// \brief Sets the hosts among which rate limits are divided.
-void SetSharers(State& aState, Micros aNow, rate_share::Members aSharers);
+void SetLimitHosts(State& aState, Micros aNow, rate_share::Members aHosts);
 
 /// \brief Identity of a request: equal for requests with the same content.
 [[nodiscard]] std::uint64_t IdentityOf(const Arrival& aArrival);
--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -43,14 +43,14 @@
 
 // An unused share of a rate limit is lost to all hosts, while targets without a
 // limit are available to every host.
-void PutHeldFirst(State& aState,
-                  Micros aNow,
-                  const Request& aRequest,
-                  std::vector<Target*>& aTargets)
+void PutLimitedFirst(State& aState,
+                     Micros aNow,
+                     const Request& aRequest,
+                     std::vector<Target*>& aTargets)
 {
   const Service& service = aState.mServices[aRequest.mService];
   std::vector<Target*> held =
-    Usable(aState, aNow, aRequest, service.mHeld, false);
+    Usable(aState, aNow, aRequest, service.mLimitedTargets, false);
   if (held.empty()) {
     return;
   }
@@ -83,7 +83,7 @@
   std::stable_partition(all.begin(), all.end(), [&](const Target* aTarget) {
     return aTarget->mDataCentre == aState.mDataCentre;
   });
-  PutHeldFirst(aState, aNow, aRequest, all);
+  PutLimitedFirst(aState, aNow, aRequest, all);
   if (all.size() > aCount) {
     all.resize(aCount);
   }
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -114,17 +114,17 @@
 
 // Only a success without a limit shows that there is no limit: an error
 // generated on behalf of the target need not state one.
-void NoteLimit(State& aState,
-               Micros aNow,
-               Target& aTarget,
-               const Attempt& aAttempt,
-               const AttemptEnd& aEnd,
-               Effects& aOut)
+void UpdateLimit(State& aState,
+                 Micros aNow,
+                 Target& aTarget,
+                 const Attempt& aAttempt,
+                 const AttemptEnd& aEnd,
+                 Effects& aOut)
 {
-  if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
-    TakeLimit(aState, aNow, aTarget, aEnd.mLimit, aOut);
+  if (aEnd.mLimit.mKind != StatedLimit::Kind::Silent) {
+    HandleStatedLimit(aState, aNow, aTarget, aEnd.mLimit, aOut);
   } else if (!aEnd.mNotRun && aEnd.mStatus < kNotSuccess) {
-    TakeNoLimit(aState, aNow, aTarget, aAttempt.mSentAt, aOut);
+    HandleAbsentLimit(aState, aNow, aTarget, aAttempt.mSentAt, aOut);
   }
 }
 
@@ -148,7 +148,7 @@
     target.mSentSinceReport = std::max(0, target.mSentSinceReport - 1);
   }
   if (aEnd.mKind == EndKind::Answered && !aEnd.mMisdirected) {
-    NoteLimit(aState, aNow, target, aAttempt, aEnd, aOut);
+    UpdateLimit(aState, aNow, target, aAttempt, aEnd, aOut);
   }
   if (aEnd.mMisdirected) {
     HandleTargetEnd(aState, aNow, target, aOut);
--- a/src/dispatch/facts.cpp
+++ b/src/dispatch/facts.cpp
@@ -16,7 +16,7 @@
       TakeAnswerFact(aState, aItem);
       break;
     case gossip::Kind::TargetLimit:
-      TakeLimitFact(aState, aNow, aItem, aOut);
+      HandleLimitFact(aState, aNow, aItem, aOut);
       break;
   }
 }
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -173,25 +173,28 @@
 
 // --- limits.cpp: request rates that targets state for all hosts together
 /// \brief Handles a stated limit in an answer, readable or not.
-void TakeLimit(State& aState,
-               Micros aNow,
-               Target& aTarget,
-               const LimitWord& aWord,
-               Effects& aOut);
+void HandleStatedLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       const StatedLimit& aLimit,
+                       Effects& aOut);
 /// \brief Handles a successful answer without a limit to a request sent at
 /// `aSentAt`.
-void TakeNoLimit(State& aState,
-                 Micros aNow,
-                 Target& aTarget,
-                 Micros aSentAt,
-                 Effects& aOut);
+void HandleAbsentLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Micros aSentAt,
+                       Effects& aOut);
 /// \brief Handles another host's report of a limit, or of its end.
-void TakeLimitFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut);
+void HandleLimitFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut);
 /// \brief Applies a limit that was reported before the target was known.
-void TakeEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut);
+void ApplyEarlyLimit(State& aState,
+                     Micros aNow,
+                     Target& aTarget,
+                     Effects& aOut);
 /// \brief True unless this host's share of the limit is used up now.
 [[nodiscard]] bool IsWithinLimit(const Target& aTarget, Micros aNow) noexcept;
 /// \brief True unless the target has a limit of which this host has no share.
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -30,9 +30,9 @@
          " part=" + RateText(aTarget.mShare.mPart);
 }
 
-void NoteHeld(Service& aService, const Target& aTarget)
+void UpdateLimitedTargets(Service& aService, const Target& aTarget)
 {
-  auto& held = aService.mHeld;
+  auto& held = aService.mLimitedTargets;
   held.erase(std::remove(held.begin(), held.end(), aTarget.mId), held.end());
   if (aTarget.mLimit && aTarget.mShare.mPart > 0) {
     held.push_back(aTarget.mId);
@@ -43,11 +43,11 @@
 {
   if (!aTarget.mLimit) {
     aTarget.mShare = rate_share::Share();
-  } else if (!aState.mSharers.mDigests.empty()) {
+  } else if (!aState.mLimitHosts.mDigests.empty()) {
     rate_share::Divide(
-      aTarget.mShare, aState.mSharers, aTarget.mId, *aTarget.mLimit, aNow);
+      aTarget.mShare, aState.mLimitHosts, aTarget.mId, *aTarget.mLimit, aNow);
   }
-  NoteHeld(aState.mServices[aTarget.mService], aTarget);
+  UpdateLimitedTargets(aState.mServices[aTarget.mService], aTarget);
 }
 
 void SetLimit(State& aState,
@@ -68,7 +68,7 @@
   ++aState.mCounters[ended ? "limits_ended" : "limits_named"];
 }
 
-void TellLimit(const Target& aTarget, Effects& aOut)
+void SendLimitFact(const Target& aTarget, Effects& aOut)
 {
   aOut.emplace_back(
     TellFleet{ { gossip::Kind::TargetLimit,
@@ -85,43 +85,43 @@
 
 } // namespace
 
-void TakeLimit(State& aState,
-               Micros aNow,
-               Target& aTarget,
-               const LimitWord& aWord,
-               Effects& aOut)
+void HandleStatedLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       const StatedLimit& aLimit,
+                       Effects& aOut)
 {
-  if (aWord.mKind == LimitWord::Kind::Unreadable) {
+  if (aLimit.mKind == StatedLimit::Kind::Unreadable) {
     ++aState.mCounters["limits_unreadable"];
     Log(aOut, 2, "event=limit_unreadable target=" + aTarget.mId);
     return;
   }
   aTarget.mLimitAt = aNow;
-  if (!IsAboutTheSame(aTarget, aWord.mPerSecond)) {
-    SetLimit(aState, aNow, aTarget, aWord.mPerSecond, aOut);
+  if (!IsAboutTheSame(aTarget, aLimit.mPerSecond)) {
+    SetLimit(aState, aNow, aTarget, aLimit.mPerSecond, aOut);
   }
-  TellLimit(aTarget, aOut);
+  SendLimitFact(aTarget, aOut);
 }
 
 // An answer to a request that was sent before the limit was stated may predate
 // the limit.
-void TakeNoLimit(State& aState,
-                 Micros aNow,
-                 Target& aTarget,
-                 Micros aSentAt,
-                 Effects& aOut)
+void HandleAbsentLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Micros aSentAt,
+                       Effects& aOut)
 {
   if (aTarget.mLimit && aSentAt > aTarget.mLimitAt) {
     aTarget.mLimitAt = aNow;
     SetLimit(aState, aNow, aTarget, std::nullopt, aOut);
-    TellLimit(aTarget, aOut);
+    SendLimitFact(aTarget, aOut);
   }
 }
 
-void TakeLimitFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut)
+void HandleLimitFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut)
 {
   const auto found = aState.mTargets.find(aItem.mKey);
   if (found == aState.mTargets.end()) {
@@ -144,13 +144,13 @@
   }
 }
 
-void TakeEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void ApplyEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
   const auto found = aState.mEarlyLimits.find(aTarget.mId);
   if (found != aState.mEarlyLimits.end()) {
     const gossip::Item item = std::move(found->second);
     aState.mEarlyLimits.erase(found);
-    TakeLimitFact(aState, aNow, item, aOut);
+    HandleLimitFact(aState, aNow, item, aOut);
   }
 }
 
@@ -164,7 +164,7 @@
   return !aTarget.mLimit || aTarget.mShare.mPart > 0;
 }
 
-bool NeedsSharers(const State& aState) noexcept
+bool NeedsLimitHosts(const State& aState) noexcept
 {
   return !aState.mQuarantine.mRecords.empty() || HasLimits(aState);
 }
@@ -177,9 +177,9 @@
     });
 }
 
-void SetSharers(State& aState, Micros aNow, rate_share::Members aSharers)
+void SetLimitHosts(State& aState, Micros aNow, rate_share::Members aHosts)
 {
-  aState.mSharers = std::move(aSharers);
+  aState.mLimitHosts = std::move(aHosts);
   for (auto& [id, target] : aState.mTargets) {
     if (target.mLimit) {
       DivideLimit(aState, aNow, target);
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -364,7 +364,7 @@
     JudgeQuarantine(aState, request.mIdentity, request.mService, aNow);
   const bool elsewhere =
     verdict == quarantine::Verdict::OnTrial &&
-    !rate_share::IsFirst(aState.mSharers, Hexadecimal(request.mIdentity));
+    !rate_share::IsFirst(aState.mLimitHosts, Hexadecimal(request.mIdentity));
   if (verdict == quarantine::Verdict::Quarantined || elsewhere) {
     // The quarantine outlasts the client's timeout, so no Retry-After is given.
     RenewQuarantine(aState, aNow, request.mIdentity, aOut);
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -79,7 +79,8 @@
 {
   Target& target = aState.mTargets[aId];
   Service& service = aState.mServices[target.mService];
-  for (std::vector<std::string>* list : { &service.mTargets, &service.mHeld }) {
+  for (std::vector<std::string>* list :
+       { &service.mTargets, &service.mLimitedTargets }) {
     list->erase(std::remove(list->begin(), list->end(), aId), list->end());
   }
   Log(aOut,
@@ -121,7 +122,7 @@
       "event=target_added target=" + target.mId +
         " service=" + target.mService + " address=" + target.mAddress +
         " sequence=" + std::to_string(aRecord.sequence()));
-  TakeEarlyLimit(aState, aNow, target, aOut);
+  ApplyEarlyLimit(aState, aNow, target, aOut);
 }
 
 // The first probe opens a connection and learns whether a target reports its
@@ -310,8 +311,8 @@
   if (aEnd.mAnswered && !other) {
     // A target may state its limit only in answers to requests, so a probe
     // without a limit says nothing.
-    if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
-      TakeLimit(aState, aNow, target, aEnd.mLimit, aOut);
+    if (aEnd.mLimit.mKind != StatedLimit::Kind::Silent) {
+      HandleStatedLimit(aState, aNow, target, aEnd.mLimit, aOut);
     }
     HandleTargetAlive(aState, aNow, target, aOut);
   }
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -62,10 +62,10 @@
   return report;
 }
 
-dispatch::LimitWord ReadLimit(const HeaderFields& aFields,
-                              const std::string& aName)
+dispatch::StatedLimit ReadLimit(const HeaderFields& aFields,
+                                const std::string& aName)
 {
-  using Kind = dispatch::LimitWord::Kind;
+  using Kind = dispatch::StatedLimit::Kind;
   const std::string* value = FindField(aFields, aName);
   if (aName.empty() || value == nullptr) {
     return {};
@@ -80,8 +80,8 @@
     });
   const bool sound = named == 1 && read.ec == std::errc() && read.ptr == end &&
                      std::isfinite(perSecond) && perSecond >= 0;
-  return sound ? dispatch::LimitWord{ Kind::Named, perSecond }
-               : dispatch::LimitWord{ Kind::Unreadable, 0 };
+  return sound ? dispatch::StatedLimit{ Kind::Named, perSecond }
+               : dispatch::StatedLimit{ Kind::Unreadable, 0 };
 }
 
 /// \brief One connection to one target; carries one exchange at a time.
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -89,8 +89,8 @@
 
 /// \brief What an answer's fields say of its target's limit; more than one such
 /// field, and what is no number from zero up, is unreadable.
-[[nodiscard]] dispatch::LimitWord ReadLimit(const HeaderFields& aFields,
-                                            const std::string& aName);
+[[nodiscard]] dispatch::StatedLimit ReadLimit(const HeaderFields& aFields,
+                                              const std::string& aName);
 
 /// \brief Load as written in an answer; nothing when it is not sound.
 [[nodiscard]] std::optional<dispatch::Report> ParseLoad(
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -192,7 +192,8 @@
 {
   State& state = aContext.mState;
   rate_share::Members sharers;
-  if (state.mDispatch.mKnowsHosts && dispatch::NeedsSharers(state.mDispatch)) {
+  if (state.mDispatch.mKnowsHosts &&
+      dispatch::NeedsLimitHosts(state.mDispatch)) {
     std::vector<std::string> hosts;
     for (const fleet::Host* host :
          fleet::ReadyHosts(state.mFleet, aContext.mNow)) {
@@ -200,7 +201,7 @@
     }
     sharers = rate_share::MakeMembers(hosts, state.mDispatch.mHostId);
   }
-  dispatch::SetSharers(state.mDispatch, aContext.mNow, std::move(sharers));
+  dispatch::SetLimitHosts(state.mDispatch, aContext.mNow, std::move(sharers));
 }
 
 // Bounds that all hosts share hold over a window: within one the largest number
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -378,9 +378,9 @@
   mTargets.at(aAddress).mLimit = aPerSecond;
 }
 
-dispatch::LimitWord GatewayWorld::LimitOf(const FakeTarget& aTarget)
+dispatch::StatedLimit GatewayWorld::LimitOf(const FakeTarget& aTarget)
 {
-  using Kind = dispatch::LimitWord::Kind;
+  using Kind = dispatch::StatedLimit::Kind;
   return { aTarget.mLimit > 0 ? Kind::Named : Kind::Silent, aTarget.mLimit };
 }
 
@@ -613,7 +613,8 @@
       end.mHealthy = true;
       end.mAnsweredBy = target.mId;
       end.mReport = ReportOf(target);
-      end.mLimit = mProbesNameLimits ? LimitOf(target) : dispatch::LimitWord();
+      end.mLimit =
+        mProbesNameLimits ? LimitOf(target) : dispatch::StatedLimit();
     }
     end.mRefused = !target.mAlive && !silent;
     Post(aHost, std::move(end));
--- a/tests/fakes/gateway_world.h
+++ b/tests/fakes/gateway_world.h
@@ -218,7 +218,7 @@
   void EndJob(std::uint64_t aJob, dispatch::AttemptEnd aEnd);
   void ReportEnd(std::size_t aHost, dispatch::AttemptEnd aEnd);
   [[nodiscard]] dispatch::Report ReportOf(const FakeTarget& aTarget) const;
-  [[nodiscard]] static dispatch::LimitWord LimitOf(const FakeTarget& aTarget);
+  [[nodiscard]] static dispatch::StatedLimit LimitOf(const FakeTarget& aTarget);
   /// \brief A host that is alive; none where all are gone.
   [[nodiscard]] std::optional<std::size_t> AnyHost();
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -193,13 +193,13 @@
 
   void LimitIsReadWhereItIsSound()
   {
-    using Kind = dispatch::LimitWord::Kind;
+    using Kind = dispatch::StatedLimit::Kind;
     const auto read = [](const HeaderFields& aFields) {
       return ReadLimit(aFields, "Target-Limit");
     };
     CPPUNIT_ASSERT(read({ { "Other", "1" } }).mKind == Kind::Silent);
     for (const std::string text : { "3.4", " 3.4", "3.40", "34e-1" }) {
-      const dispatch::LimitWord word = read({ { "target-limit", text } });
+      const dispatch::StatedLimit word = read({ { "target-limit", text } });
       CPPUNIT_ASSERT_MESSAGE(text, word.mKind == Kind::Named);
       CPPUNIT_ASSERT_DOUBLES_EQUAL(3.4, word.mPerSecond, 1e-9);
     }
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -196,7 +196,7 @@
     // Of 15 hosts two hold a part; none of the others lets anybody wait.
     for (std::size_t host = 0; host < world.Hosts(); ++host) {
       const dispatch::State& state = world.At(host).mDispatch;
-      const bool holds = !state.mServices.at("service").mHeld.empty();
+      const bool holds = !state.mServices.at("service").mLimitedTargets.empty();
       CPPUNIT_ASSERT(holds || state.mRequests.empty());
     }
   }
@@ -237,7 +237,7 @@
     std::vector<std::size_t> holders;
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
       const dispatch::State& state = aWorld.At(host).mDispatch;
-      if (!state.mServices.at("service").mHeld.empty()) {
+      if (!state.mServices.at("service").mLimitedTargets.empty()) {
         holders.push_back(host);
       }
     }
