--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -347,7 +347,7 @@
 };
 
 /// \brief Send a fact to the other hosts.
-struct TellFleet
+struct SendFact
 {
   gossip::Item mItem;
 };
@@ -364,7 +364,7 @@
                             CancelAttempt,
                             DeliverAnswer,
                             ReplyToClient,
-                            TellFleet,
+                            SendFact,
                             LogLine>;
 using Effects = std::vector<Effect>;
 
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-gossip::Item ItemOf(std::uint64_t aIdentity, const quarantine::Crash& aCrash)
+gossip::Item CrashFact(std::uint64_t aIdentity, const quarantine::Crash& aCrash)
 {
   return { gossip::Kind::RequestCrash,
            Hexadecimal(aIdentity) + "/" + aCrash.mTarget,
@@ -64,10 +64,10 @@
            aCrash.mAt };
 }
 
-void TellAnswer(State& aState,
-                std::uint64_t aIdentity,
-                Micros aAt,
-                Effects& aOut)
+void SendAnswerFact(State& aState,
+                    std::uint64_t aIdentity,
+                    Micros aAt,
+                    Effects& aOut)
 {
   const auto found = aState.mQuarantine.mRecords.find(aIdentity);
   if (found == aState.mQuarantine.mRecords.end() ||
@@ -75,7 +75,7 @@
     return;
   }
   quarantine::NoteAnswer(aState.mQuarantine, aIdentity, aAt);
-  aOut.emplace_back(TellFleet{
+  aOut.emplace_back(SendFact{
     { gossip::Kind::RequestAnswered, Hexadecimal(aIdentity), "", aAt } });
 }
 
@@ -88,10 +88,10 @@
   ++aState.mCounters["requests_at_ended_targets"];
   const quarantine::Crash crash{ aTarget.mId, aTarget.mRelease, aNow };
   AddCrash(aState, aNow, aIdentity, crash, aOut);
-  aOut.emplace_back(TellFleet{ ItemOf(aIdentity, crash) });
+  aOut.emplace_back(SendFact{ CrashFact(aIdentity, crash) });
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, aIdentity);
   if (answered != 0) {
-    TellAnswer(aState, aIdentity, answered, aOut);
+    SendAnswerFact(aState, aIdentity, answered, aOut);
   }
 }
 
@@ -218,7 +218,7 @@
                   Effects& aOut)
 {
   quarantine::RememberAnswer(aState.mQuarantine, aIdentity, aNow);
-  TellAnswer(aState, aIdentity, aNow, aOut);
+  SendAnswerFact(aState, aIdentity, aNow, aOut);
 }
 
 quarantine::Verdict JudgeQuarantine(const State& aState,
@@ -243,7 +243,7 @@
 {
   for (const quarantine::Crash& crash :
        quarantine::Renew(aState.mQuarantine, aIdentity, aNow)) {
-    aOut.emplace_back(TellFleet{ ItemOf(aIdentity, crash) });
+    aOut.emplace_back(SendFact{ CrashFact(aIdentity, crash) });
   }
 }
 
@@ -258,17 +258,17 @@
   }
   quarantine::NoteRelease(aState.mQuarantine, aIdentity, aNow);
   Log(aOut, 2, "event=request_released identity=" + Hexadecimal(aIdentity));
-  aOut.emplace_back(TellFleet{ { gossip::Kind::RequestAnswered,
-                                 Hexadecimal(aIdentity),
-                                 kReleasedValue,
-                                 aNow } });
+  aOut.emplace_back(SendFact{ { gossip::Kind::RequestAnswered,
+                                Hexadecimal(aIdentity),
+                                kReleasedValue,
+                                aNow } });
   return true;
 }
 
-void TakeCrashFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut)
+void HandleCrashFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut)
 {
   if (aItem.mKey.size() <= kIdentityDigits) {
     return;
@@ -282,11 +282,11 @@
     aOut);
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, identity);
   if (answered != 0) {
-    TellAnswer(aState, identity, answered, aOut);
+    SendAnswerFact(aState, identity, answered, aOut);
   }
 }
 
-void TakeAnswerFact(State& aState, const gossip::Item& aItem)
+void HandleAnswerFact(State& aState, const gossip::Item& aItem)
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
   if (aItem.mValue == kReleasedValue) {
--- a/src/dispatch/facts.cpp
+++ b/src/dispatch/facts.cpp
@@ -10,10 +10,10 @@
 {
   switch (aItem.mKind) {
     case gossip::Kind::RequestCrash:
-      TakeCrashFact(aState, aNow, aItem, aOut);
+      HandleCrashFact(aState, aNow, aItem, aOut);
       break;
     case gossip::Kind::RequestAnswered:
-      TakeAnswerFact(aState, aItem);
+      HandleAnswerFact(aState, aItem);
       break;
     case gossip::Kind::TargetLimit:
       HandleLimitFact(aState, aNow, aItem, aOut);
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -159,13 +159,13 @@
                      std::uint64_t aIdentity,
                      Effects& aOut);
 /// \brief Handles another host's report of a target that ended under a request.
-void TakeCrashFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut);
+void HandleCrashFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut);
 /// \brief Handles another host's report that a request was answered or released
 /// by an operator.
-void TakeAnswerFact(State& aState, const gossip::Item& aItem);
+void HandleAnswerFact(State& aState, const gossip::Item& aItem);
 [[nodiscard]] quarantine::Verdict JudgeQuarantine(const State& aState,
                                                   std::uint64_t aIdentity,
                                                   const std::string& aService,
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -70,11 +70,10 @@
 
 void SendLimitFact(const Target& aTarget, Effects& aOut)
 {
-  aOut.emplace_back(
-    TellFleet{ { gossip::Kind::TargetLimit,
-                 aTarget.mId,
-                 aTarget.mLimit ? RateText(*aTarget.mLimit) : "",
-                 aTarget.mLimitAt } });
+  aOut.emplace_back(SendFact{ { gossip::Kind::TargetLimit,
+                                aTarget.mId,
+                                aTarget.mLimit ? RateText(*aTarget.mLimit) : "",
+                                aTarget.mLimitAt } });
 }
 
 bool IsAboutTheSame(const Target& aTarget, double aPerSecond)
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,7 +21,7 @@
 void Append(Context& aContext, dispatch::Effects aEffects)
 {
   for (dispatch::Effect& effect : aEffects) {
-    if (auto* tell = std::get_if<dispatch::TellFleet>(&effect)) {
+    if (auto* tell = std::get_if<dispatch::SendFact>(&effect)) {
       fleet::Output output;
       fleet::Tell(
         aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
@@ -31,7 +31,7 @@
     std::visit(
       [&](auto& aOne) {
         using One = std::decay_t<decltype(aOne)>;
-        if constexpr (!std::is_same_v<One, dispatch::TellFleet>) {
+        if constexpr (!std::is_same_v<One, dispatch::SendFact>) {
           aContext.mOut.emplace_back(std::move(aOne));
         }
       },
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -78,16 +78,16 @@
   {
     Break(Send("/a"));
     const Effects effects = EndProbe(Answer::Healthy);
-    CPPUNIT_ASSERT(All<TellFleet>(effects).empty());
+    CPPUNIT_ASSERT(All<SendFact>(effects).empty());
     // Nor does its end say anything of it later.
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
   void BrokenAnswerOfATargetThatRefusesIsACrash()
   {
     const Effects broken = Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<ProbeTarget>(broken).size());
-    const auto told = All<TellFleet>(EndProbe(Answer::Refused));
+    const auto told = All<SendFact>(EndProbe(Answer::Refused));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), told.size());
     CPPUNIT_ASSERT(told[0].mItem.mKind == gossip::Kind::RequestCrash);
   }
@@ -96,15 +96,15 @@
   {
     Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         All<TellFleet>(EndProbe(Answer::Other)).size());
+                         All<SendFact>(EndProbe(Answer::Other)).size());
   }
 
   void BrokenAnswerOfASilentTargetIsNoCrash()
   {
     Break(Send("/a"));
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::None)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::None)).empty());
     mNow += 4 * kSecond;
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
   void BrokenAnswerOfATargetThatLeftIsNoCrash()
@@ -112,8 +112,8 @@
     const SendRequest sent = Send("/a");
     Effects effects;
     SetTargets(mState, mNow, {}, effects);
-    CPPUNIT_ASSERT(All<TellFleet>(Break(sent)).empty());
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(Break(sent)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
   void ProbeThatBrokeWithTheAnswerIsSentAgain()
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
                          All<ProbeTarget>(EndProbe(Answer::None)).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         All<TellFleet>(EndProbe(Answer::Refused)).size());
+                         All<SendFact>(EndProbe(Answer::Refused)).size());
   }
 
   void AllRequestsOfATargetThatEndedAreTold()
@@ -136,9 +136,9 @@
     Break(first);
     Break(second);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
-                         All<TellFleet>(EndProbe(Answer::Refused)).size());
+                         All<SendFact>(EndProbe(Answer::Refused)).size());
     // Its end is seen on another connection a moment later.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<TellFleet>(Break(third)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendFact>(Break(third)).size());
   }
 
 private:
