--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -146,8 +146,8 @@
 /// when the work started.
 struct LoadCurve
 {
-  std::array<double, kCurveBuckets> mStretch{};
-  std::array<int, kCurveBuckets> mSeen{};
+  std::array<double, kCurveBuckets> mLatencyFactor{};
+  std::array<int, kCurveBuckets> mSampleCount{};
 };
 
 /// \brief Statistics of the speeds that a service's targets report.
@@ -184,7 +184,7 @@
   SpeedStatistics mSpeeds;
   /// Factor by which work takes longer at a target that has just started; 2
   /// until some have answered.
-  double mColdStretch = 2;
+  double mColdLatencyFactor = 2;
   /// Smoothed share of late requests that waited and found spare capacity, as
   /// of mLateServedAt.
   double mLateServedShare = 1;
@@ -200,7 +200,7 @@
 /// microseconds.
 struct PatienceStatistics
 {
-  int mSeen = 0;
+  int mSampleCount = 0;
   double mMean = 0;
   /// Smoothed absolute deviation from the mean.
   double mDeviation = 0;
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -78,7 +78,7 @@
   double work = static_cast<double>(aNeed.mWork) *
                 SlownessOf(aTarget, service.mSpeeds, aNow);
   if (aNow < aTarget.mWarmUpEnd) {
-    work *= service.mColdStretch;
+    work *= service.mColdLatencyFactor;
   }
   const int slots = Slots(aTarget);
   const int occupancy = Occupancy(aTarget, aNow);
@@ -86,7 +86,7 @@
   if (occupancy >= slots) {
     time += work * (occupancy - slots + 1) / slots;
   }
-  time *= StretchAt(service.mCurve, occupancy, slots);
+  time *= LatencyFactorAt(service.mCurve, occupancy, slots);
   if (aTarget.mDataCentre != aNeed.mDataCentre) {
     time += static_cast<double>(kCrossingTime);
   }
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -10,7 +10,7 @@
 /// Smoothing gain of a route's statistics.
 constexpr double kWorkGain = 0.08;
 /// Upper bound on one answer's time relative to the usual time.
-constexpr double kMostRatio = 3;
+constexpr double kMaxLatencyRatio = 3;
 constexpr int kServerError = 500;
 constexpr int kNotSuccess = 300;
 
@@ -61,29 +61,30 @@
   const double took = static_cast<double>(aNow - aAttempt.mSentAt);
   const int occupancy = aAttempt.mOccupancy;
   const int slots = aAttempt.mSlots;
-  const double stretch = StretchAt(service.mCurve, occupancy, slots) *
-                         (aAttempt.mCold ? service.mColdStretch : 1);
+  const double factor = LatencyFactorAt(service.mCurve, occupancy, slots) *
+                        (aAttempt.mCold ? service.mColdLatencyFactor : 1);
   if (learnt.mWork <= 0) {
-    LearnWork(learnt, took / stretch);
+    LearnWork(learnt, took / factor);
     learnt.mAnswerBytes = static_cast<double>(aEnd.mBytes);
     return;
   }
   learnt.mAnswerBytes +=
     kWorkGain * (static_cast<double>(aEnd.mBytes) - learnt.mAnswerBytes);
   // A single slow answer must not double an estimate.
-  const double ratio = std::min(took / learnt.mWork, kMostRatio);
+  const double ratio = std::min(took / learnt.mWork, kMaxLatencyRatio);
   const bool told =
     aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kMaxReportAge;
   if (aAttempt.mCold) {
-    service.mColdStretch += kWorkGain * (ratio - service.mColdStretch);
-    service.mColdStretch = std::max(1.0, service.mColdStretch);
+    service.mColdLatencyFactor +=
+      kWorkGain * (ratio - service.mColdLatencyFactor);
+    service.mColdLatencyFactor = std::max(1.0, service.mColdLatencyFactor);
     return;
   }
   if (told && occupancy > 0 && occupancy < slots) {
-    LearnStretch(service.mCurve, occupancy, slots, ratio);
+    LearnLatencyFactor(service.mCurve, occupancy, slots, ratio);
   }
   if (occupancy < slots) {
-    LearnWork(learnt, ratio * learnt.mWork / stretch);
+    LearnWork(learnt, ratio * learnt.mWork / factor);
   }
 }
 
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -203,16 +203,16 @@
 // --- learning.cpp: statistics from answers and reports
 /// \brief Factor by which work takes longer when it starts beside `aOccupancy`
 /// other requests.
-[[nodiscard]] double StretchAt(const LoadCurve& aCurve,
-                               int aOccupancy,
-                               int aSlots) noexcept;
+[[nodiscard]] double LatencyFactorAt(const LoadCurve& aCurve,
+                                     int aOccupancy,
+                                     int aSlots) noexcept;
 /// \brief Number of concurrent requests that gives the highest throughput.
 [[nodiscard]] int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept;
 /// \brief Records the time of one answer relative to the usual service time.
-void LearnStretch(LoadCurve& aCurve,
-                  int aOccupancy,
-                  int aSlots,
-                  double aRatio) noexcept;
+void LearnLatencyFactor(LoadCurve& aCurve,
+                        int aOccupancy,
+                        int aSlots,
+                        double aRatio) noexcept;
 /// \brief Learns from two reports of one target, `aGap` apart.
 void LearnSpeed(SpeedStatistics& aLearnt,
                 const Report& aBefore,
--- a/src/dispatch/learning.cpp
+++ b/src/dispatch/learning.cpp
@@ -14,15 +14,15 @@
 /// Smoothing gain: about twenty samples.
 constexpr double kLearnGain = 0.05;
 /// A single slow answer must not move an estimate by more than this factor.
-constexpr double kMostStretch = 4;
+constexpr double kMaxLatencyFactor = 4;
 /// A concurrency below all slots must give this much more throughput: a smaller
 /// gain is within the error of an estimate from twenty answers.
-constexpr double kClearGain = 1.05;
+constexpr double kMinThroughputGain = 1.05;
 /// Latency factor assumed for a full target before answers are known: between
 /// targets that are unaffected by load and those that slow down. It weighs as
 /// much as this many answers.
-constexpr double kFirstStretch = 1.3;
-constexpr int kFirstWeight = 2;
+constexpr double kInitialLatencyFactor = 1.3;
+constexpr int kInitialWeight = 2;
 /// Ratio of two reported slownesses from which on the speed counts as changed.
 constexpr double kOtherSpeed = 1.2;
 /// Speeds are assumed to last this long until changes are observed; a host sees
@@ -35,10 +35,10 @@
 
 // Until answers show it, using the last slot is never assumed to reduce
 // throughput.
-double FirstStretch(int aOccupancy, int aSlots) noexcept
+double InitialLatencyFactor(int aOccupancy, int aSlots) noexcept
 {
   const bool fills = aOccupancy > 0 && aOccupancy + 1 >= aSlots;
-  return fills ? std::min(kFirstStretch, 1 + 1.0 / aOccupancy) : 1;
+  return fills ? std::min(kInitialLatencyFactor, 1 + 1.0 / aOccupancy) : 1;
 }
 
 std::size_t BucketOf(int aOccupancy, int aSlots) noexcept
@@ -50,33 +50,35 @@
 
 } // namespace
 
-double StretchAt(const LoadCurve& aCurve, int aOccupancy, int aSlots) noexcept
+double LatencyFactorAt(const LoadCurve& aCurve,
+                       int aOccupancy,
+                       int aSlots) noexcept
 {
   if (aOccupancy <= 0) {
     return 1;
   }
   const std::size_t bucket = BucketOf(aOccupancy, aSlots);
-  double stretch = FirstStretch(aOccupancy, aSlots);
-  if (aCurve.mSeen[bucket] > 0) {
-    stretch = aCurve.mStretch[bucket];
+  double factor = InitialLatencyFactor(aOccupancy, aSlots);
+  if (aCurve.mSampleCount[bucket] > 0) {
+    factor = aCurve.mLatencyFactor[bucket];
   }
   for (std::size_t i = 1; i < bucket; ++i) {
-    if (aCurve.mSeen[i] > 0) {
-      stretch = std::max(stretch, aCurve.mStretch[i]);
+    if (aCurve.mSampleCount[i] > 0) {
+      factor = std::max(factor, aCurve.mLatencyFactor[i]);
     }
   }
-  return std::max(1.0, stretch);
+  return std::max(1.0, factor);
 }
 
 // Queueing at the target is not included: a request queued there is later run
 // with all slots occupied.
 int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept
 {
-  const double all = aSlots / StretchAt(aCurve, aSlots - 1, aSlots);
+  const double all = aSlots / LatencyFactorAt(aCurve, aSlots - 1, aSlots);
   int best = aSlots;
-  double most = all * kClearGain;
+  double most = all * kMinThroughputGain;
   for (int limit = 1; limit < aSlots; ++limit) {
-    const double rate = limit / StretchAt(aCurve, limit - 1, aSlots);
+    const double rate = limit / LatencyFactorAt(aCurve, limit - 1, aSlots);
     if (rate > most) {
       best = limit;
       most = rate;
@@ -85,20 +87,20 @@
   return best;
 }
 
-void LearnStretch(LoadCurve& aCurve,
-                  int aOccupancy,
-                  int aSlots,
-                  double aRatio) noexcept
+void LearnLatencyFactor(LoadCurve& aCurve,
+                        int aOccupancy,
+                        int aSlots,
+                        double aRatio) noexcept
 {
   const std::size_t bucket = BucketOf(aOccupancy, aSlots);
-  double& stretch = aCurve.mStretch[bucket];
-  int& seen = aCurve.mSeen[bucket];
+  double& factor = aCurve.mLatencyFactor[bucket];
+  int& seen = aCurve.mSampleCount[bucket];
   if (seen == 0) {
-    stretch = FirstStretch(aOccupancy, aSlots);
+    factor = InitialLatencyFactor(aOccupancy, aSlots);
   }
   ++seen;
-  const double gain = std::max(kLearnGain, 1.0 / (seen + kFirstWeight));
-  stretch += gain * (std::min(aRatio, kMostStretch) - stretch);
+  const double gain = std::max(kLearnGain, 1.0 / (seen + kInitialWeight));
+  factor += gain * (std::min(aRatio, kMaxLatencyFactor) - factor);
 }
 
 void LearnSpeed(SpeedStatistics& aLearnt,
--- a/src/dispatch/returning.cpp
+++ b/src/dispatch/returning.cpp
@@ -37,7 +37,7 @@
 {
   const double apart =
     std::max(static_cast<double>(aObjective), kApart * aLearnt.mDeviation);
-  return aLearnt.mSeen > 0 && aPatience > 0 &&
+  return aLearnt.mSampleCount > 0 && aPatience > 0 &&
          static_cast<double>(aPatience) < aLearnt.mMean - apart;
 }
 
@@ -56,12 +56,12 @@
   } else if (isReturn) {
     return;
   }
-  ++aLearnt.mSeen;
-  const double gain = std::max(kPatienceGain, 1.0 / aLearnt.mSeen);
+  ++aLearnt.mSampleCount;
+  const double gain = std::max(kPatienceGain, 1.0 / aLearnt.mSampleCount);
   const double off = static_cast<double>(aPatience) - aLearnt.mMean;
   aLearnt.mMean += gain * off;
   // A single sample has no deviation.
-  const double deviation = aLearnt.mSeen > 1 ? std::abs(off) : 0;
+  const double deviation = aLearnt.mSampleCount > 1 ? std::abs(off) : 0;
   aLearnt.mDeviation += gain * (deviation - aLearnt.mDeviation);
 }
 
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -29,7 +29,7 @@
     LoadCurve pair;
     Fill(pair, 2, 1.7);
     CPPUNIT_ASSERT_EQUAL(2, EfficientLimit(pair, 2));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.7, StretchAt(pair, 1, 2), 0.1);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.7, LatencyFactorAt(pair, 1, 2), 0.1);
   }
 
   void TargetsThatDoNotCareAreFilled()
@@ -46,17 +46,17 @@
   {
     LoadCurve curve;
     for (int answer = 0; answer < 100; ++answer) {
-      LearnStretch(curve, 3, 4, 3);
+      LearnLatencyFactor(curve, 3, 4, 3);
     }
     for (int answer = 0; answer < 60; ++answer) {
-      LearnStretch(curve, 3, 4, 1);
+      LearnLatencyFactor(curve, 3, 4, 1);
     }
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, StretchAt(curve, 3, 4), 0.15);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, LatencyFactorAt(curve, 3, 4), 0.15);
     LoadCurve fresh;
     for (int answer = 0; answer < 20; ++answer) {
-      LearnStretch(fresh, 3, 4, 1);
+      LearnLatencyFactor(fresh, 3, 4, 1);
     }
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, StretchAt(fresh, 3, 4), 0.05);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, LatencyFactorAt(fresh, 3, 4), 0.05);
   }
 
   void TimeThatSpeedsHoldFollowsTheReports()
@@ -138,7 +138,7 @@
     for (int answer = 0; answer < 40; ++answer) {
       for (int occupancy = 1; occupancy < aSlots; ++occupancy) {
         const bool last = occupancy + 1 == aSlots;
-        LearnStretch(aCurve, occupancy, aSlots, last ? aLast : 1);
+        LearnLatencyFactor(aCurve, occupancy, aSlots, last ? aLast : 1);
       }
     }
   }
