--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -157,7 +157,7 @@
   double mMean = 1;
   /// Total time between consecutive reports of one target, and the number of
   /// speed changes in it.
-  double mWatched = 0;
+  double mObservedTime = 0;
   double mChanges = 0;
 };
 
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -36,7 +36,7 @@
 constexpr double kAmpleSpareCapacity = 0.6;
 /// Service time assumed for a route without answers yet, as a share of its
 /// latency objective.
-constexpr double kFirstWork = 0.35;
+constexpr double kInitialWorkShare = 0.35;
 
 std::vector<Target*> AllTargets(State& aState, const Service& aService)
 {
@@ -303,7 +303,8 @@
     return need;
   }
   const Micros objective = aRequest.mObjectiveAt - aRequest.mArrivedAt;
-  need.mWork = static_cast<Micros>(kFirstWork * static_cast<double>(objective));
+  need.mWork =
+    static_cast<Micros>(kInitialWorkShare * static_cast<double>(objective));
   return need;
 }
 
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -38,7 +38,7 @@
     return aSpeeds.mMean;
   }
   const double age = static_cast<double>(aNow - aTarget.mReportAt);
-  const double trust = std::exp(-age / SpeedTime(aSpeeds));
+  const double trust = std::exp(-age / MeanSpeedDuration(aSpeeds));
   return aTarget.mReport->mSlowness * trust + aSpeeds.mMean * (1 - trust);
 }
 
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -33,10 +33,10 @@
                            aRequest.mAttempts.end());
 }
 
-void LearnWork(RouteStatistics& aLearnt, double aWork)
+void LearnWork(RouteStatistics& aStatistics, double aWork)
 {
-  const double gain = std::max(kWorkGain, 1.0 / ++aLearnt.mAnswers);
-  aLearnt.mWork += gain * (aWork - aLearnt.mWork);
+  const double gain = std::max(kWorkGain, 1.0 / ++aStatistics.mAnswers);
+  aStatistics.mWork += gain * (aWork - aStatistics.mWork);
 }
 
 // Uses the target's state when the request was sent to learn the service time
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -214,12 +214,13 @@
                         int aSlots,
                         double aRatio) noexcept;
 /// \brief Learns from two reports of one target, `aGap` apart.
-void LearnSpeed(SpeedStatistics& aLearnt,
+void LearnSpeed(SpeedStatistics& aStatistics,
                 const Report& aBefore,
                 Micros aGap,
                 const Report& aNow) noexcept;
 /// \brief Mean time for which a target keeps its speed.
-[[nodiscard]] double SpeedTime(const SpeedStatistics& aLearnt) noexcept;
+[[nodiscard]] double MeanSpeedDuration(
+  const SpeedStatistics& aStatistics) noexcept;
 
 // --- unrouted.cpp: requests that arrive before the first policy
 /// \brief Queues a request until the first policy arrives, or refuses it.
@@ -236,10 +237,10 @@
 /// \brief True when a request's remaining client timeout shows that it is a
 /// retry: its client has already waited longer than the route's latency
 /// objective.
-[[nodiscard]] bool IsReturn(const PatienceStatistics& aLearnt,
+[[nodiscard]] bool IsReturn(const PatienceStatistics& aStatistics,
                             Micros aPatience,
                             Micros aObjective) noexcept;
-void LearnPatience(PatienceStatistics& aLearnt,
+void LearnPatience(PatienceStatistics& aStatistics,
                    Micros aPatience,
                    Micros aObjective) noexcept;
 
--- a/src/dispatch/learning.cpp
+++ b/src/dispatch/learning.cpp
@@ -24,14 +24,14 @@
 constexpr double kInitialLatencyFactor = 1.3;
 constexpr int kInitialWeight = 2;
 /// Ratio of two reported slownesses from which on the speed counts as changed.
-constexpr double kOtherSpeed = 1.2;
+constexpr double kSpeedChangeRatio = 1.2;
 /// Speeds are assumed to last this long until changes are observed; a host sees
 /// about a hundred pairs of reports a second.
-constexpr double kFirstSpeedTime = 400.0 * kMillisecond;
+constexpr double kInitialSpeedDuration = 400.0 * kMillisecond;
 /// Reports further apart may hide changes in between.
-constexpr Micros kWatchedGap = 1 * kSecond;
+constexpr Micros kMaxReportGap = 1 * kSecond;
 /// Observed time that is kept: speeds of the last seconds count.
-constexpr double kWatchedTime = 60.0 * kSecond;
+constexpr double kObservedTimeKept = 60.0 * kSecond;
 
 // Until answers show it, using the last slot is never assumed to reduce
 // throughput.
@@ -103,28 +103,30 @@
   factor += gain * (std::min(aRatio, kMaxLatencyFactor) - factor);
 }
 
-void LearnSpeed(SpeedStatistics& aLearnt,
+void LearnSpeed(SpeedStatistics& aStatistics,
                 const Report& aBefore,
                 Micros aGap,
                 const Report& aNow) noexcept
 {
-  aLearnt.mMean += kLearnGain * (aNow.mSlowness - aLearnt.mMean);
-  if (aGap <= 0 || aGap > kWatchedGap) {
+  aStatistics.mMean += kLearnGain * (aNow.mSlowness - aStatistics.mMean);
+  if (aGap <= 0 || aGap > kMaxReportGap) {
     return;
   }
   const double ratio = aNow.mSlowness / aBefore.mSlowness;
-  const bool changed = ratio > kOtherSpeed || ratio * kOtherSpeed < 1;
-  aLearnt.mWatched += static_cast<double>(aGap);
-  aLearnt.mChanges += changed ? 1 : 0;
-  if (aLearnt.mWatched > kWatchedTime) {
-    aLearnt.mWatched /= 2;
-    aLearnt.mChanges /= 2;
+  const bool changed =
+    ratio > kSpeedChangeRatio || ratio * kSpeedChangeRatio < 1;
+  aStatistics.mObservedTime += static_cast<double>(aGap);
+  aStatistics.mChanges += changed ? 1 : 0;
+  if (aStatistics.mObservedTime > kObservedTimeKept) {
+    aStatistics.mObservedTime /= 2;
+    aStatistics.mChanges /= 2;
   }
 }
 
-double SpeedTime(const SpeedStatistics& aLearnt) noexcept
+double MeanSpeedDuration(const SpeedStatistics& aStatistics) noexcept
 {
-  return (aLearnt.mWatched + kFirstSpeedTime) / (aLearnt.mChanges + 1);
+  return (aStatistics.mObservedTime + kInitialSpeedDuration) /
+         (aStatistics.mChanges + 1);
 }
 
 } // namespace geraniumpond::dispatch
--- a/src/dispatch/returning.cpp
+++ b/src/dispatch/returning.cpp
@@ -24,45 +24,45 @@
 constexpr double kReturnGain = 0.02;
 constexpr double kChangedShare = 0.6;
 
-void ResetStatistics(PatienceStatistics& aLearnt) noexcept
+void ResetStatistics(PatienceStatistics& aStatistics) noexcept
 {
-  aLearnt = PatienceStatistics();
+  aStatistics = PatienceStatistics();
 }
 
 } // namespace
 
-bool IsReturn(const PatienceStatistics& aLearnt,
+bool IsReturn(const PatienceStatistics& aStatistics,
               Micros aPatience,
               Micros aObjective) noexcept
 {
   const double apart =
-    std::max(static_cast<double>(aObjective), kApart * aLearnt.mDeviation);
-  return aLearnt.mSampleCount > 0 && aPatience > 0 &&
-         static_cast<double>(aPatience) < aLearnt.mMean - apart;
+    std::max(static_cast<double>(aObjective), kApart * aStatistics.mDeviation);
+  return aStatistics.mSampleCount > 0 && aPatience > 0 &&
+         static_cast<double>(aPatience) < aStatistics.mMean - apart;
 }
 
-void LearnPatience(PatienceStatistics& aLearnt,
+void LearnPatience(PatienceStatistics& aStatistics,
                    Micros aPatience,
                    Micros aObjective) noexcept
 {
   if (aPatience <= 0) {
     return;
   }
-  const bool isReturn = IsReturn(aLearnt, aPatience, aObjective);
-  aLearnt.mReturnShare +=
-    kReturnGain * ((isReturn ? 1 : 0) - aLearnt.mReturnShare);
-  if (aLearnt.mReturnShare > kChangedShare) {
-    ResetStatistics(aLearnt);
+  const bool isReturn = IsReturn(aStatistics, aPatience, aObjective);
+  aStatistics.mReturnShare +=
+    kReturnGain * ((isReturn ? 1 : 0) - aStatistics.mReturnShare);
+  if (aStatistics.mReturnShare > kChangedShare) {
+    ResetStatistics(aStatistics);
   } else if (isReturn) {
     return;
   }
-  ++aLearnt.mSampleCount;
-  const double gain = std::max(kPatienceGain, 1.0 / aLearnt.mSampleCount);
-  const double off = static_cast<double>(aPatience) - aLearnt.mMean;
-  aLearnt.mMean += gain * off;
+  ++aStatistics.mSampleCount;
+  const double gain = std::max(kPatienceGain, 1.0 / aStatistics.mSampleCount);
+  const double off = static_cast<double>(aPatience) - aStatistics.mMean;
+  aStatistics.mMean += gain * off;
   // A single sample has no deviation.
-  const double deviation = aLearnt.mSampleCount > 1 ? std::abs(off) : 0;
-  aLearnt.mDeviation += gain * (deviation - aLearnt.mDeviation);
+  const double deviation = aStatistics.mSampleCount > 1 ? std::abs(off) : 0;
+  aStatistics.mDeviation += gain * (deviation - aStatistics.mDeviation);
 }
 
 } // namespace geraniumpond::dispatch
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -71,8 +71,8 @@
     }
     // Two changes in each tenth of a second.
     CPPUNIT_ASSERT_DOUBLES_EQUAL(
-      50.0 * kMillisecond, SpeedTime(quick), 10.0 * kMillisecond);
-    CPPUNIT_ASSERT(SpeedTime(steady) > 5.0 * kSecond);
+      50.0 * kMillisecond, MeanSpeedDuration(quick), 10.0 * kMillisecond);
+    CPPUNIT_ASSERT(MeanSpeedDuration(steady) > 5.0 * kSecond);
   }
 
   void ClientThatHasWaitedIsTakenForAReturn()
