--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -205,7 +205,7 @@
   /// Smoothed absolute deviation from the mean.
   double mDeviation = 0;
   /// Smoothed share of requests that were classified as retries.
-  double mReturnShare = 0;
+  double mRetryShare = 0;
 };
 
 /// \brief Learnt statistics of a route's requests.
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -29,7 +29,7 @@
 /// A late request that finds no capacity is refused while this share of its
 /// time is left, so that its client can retry and be served elsewhere. A
 /// refusal at the deadline leaves the client no time to retry.
-constexpr double kKeptForReturn = 0.5;
+constexpr double kTimeKeptForRetry = 0.5;
 /// Above this share of probed targets with spare capacity, a target may be
 /// loaded beyond its most efficient concurrency, because the next request will
 /// find another target.
@@ -238,7 +238,7 @@
 {
   const Micros whole = aRequest.mDeadline - aRequest.mArrivedAt;
   const auto kept =
-    static_cast<Micros>(kKeptForReturn * static_cast<double>(whole));
+    static_cast<Micros>(kTimeKeptForRetry * static_cast<double>(whole));
   return aRequest.mDeadline - std::max(kept, aNeed.mWork + kRecheckDelay);
 }
 
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -237,9 +237,9 @@
 /// \brief True when a request's remaining client timeout shows that it is a
 /// retry: its client has already waited longer than the route's latency
 /// objective.
-[[nodiscard]] bool IsReturn(const PatienceStatistics& aStatistics,
-                            Micros aPatience,
-                            Micros aObjective) noexcept;
+[[nodiscard]] bool IsClientRetry(const PatienceStatistics& aStatistics,
+                                 Micros aPatience,
+                                 Micros aObjective) noexcept;
 void LearnPatience(PatienceStatistics& aStatistics,
                    Micros aPatience,
                    Micros aObjective) noexcept;
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -346,7 +346,7 @@
       std::min(request.mDeadline, aArrivedAt + aArrival.mPatience);
   }
   PatienceStatistics& patience = aState.mStatistics[route->mName].mPatience;
-  if (IsReturn(patience, aArrival.mPatience, route->mObjective)) {
+  if (IsClientRetry(patience, aArrival.mPatience, route->mObjective)) {
     // Its latency objective passed before this try: it must not take capacity
     // from requests that can still be on time.
     request.mObjectiveAt = aArrivedAt;
--- a/src/dispatch/returning.cpp
+++ b/src/dispatch/returning.cpp
@@ -17,12 +17,12 @@
 /// A retry's timeout lies this many mean deviations below the mean of first
 /// tries. For a uniform distribution that is as far below its minimum as the
 /// minimum is below the mean.
-constexpr double kApart = 4;
+constexpr double kRetryDeviations = 4;
 /// Smoothing gain of the share of retries, and the share above which clients
 /// are assumed to have changed their timeouts: normally each retry follows a
 /// first try.
-constexpr double kReturnGain = 0.02;
-constexpr double kChangedShare = 0.6;
+constexpr double kRetryShareGain = 0.02;
+constexpr double kMaxRetryShare = 0.6;
 
 void ResetStatistics(PatienceStatistics& aStatistics) noexcept
 {
@@ -31,12 +31,12 @@
 
 } // namespace
 
-bool IsReturn(const PatienceStatistics& aStatistics,
-              Micros aPatience,
-              Micros aObjective) noexcept
+bool IsClientRetry(const PatienceStatistics& aStatistics,
+                   Micros aPatience,
+                   Micros aObjective) noexcept
 {
-  const double apart =
-    std::max(static_cast<double>(aObjective), kApart * aStatistics.mDeviation);
+  const double apart = std::max(static_cast<double>(aObjective),
+                                kRetryDeviations * aStatistics.mDeviation);
   return aStatistics.mSampleCount > 0 && aPatience > 0 &&
          static_cast<double>(aPatience) < aStatistics.mMean - apart;
 }
@@ -48,10 +48,10 @@
   if (aPatience <= 0) {
     return;
   }
-  const bool isReturn = IsReturn(aStatistics, aPatience, aObjective);
-  aStatistics.mReturnShare +=
-    kReturnGain * ((isReturn ? 1 : 0) - aStatistics.mReturnShare);
-  if (aStatistics.mReturnShare > kChangedShare) {
+  const bool isReturn = IsClientRetry(aStatistics, aPatience, aObjective);
+  aStatistics.mRetryShare +=
+    kRetryShareGain * ((isReturn ? 1 : 0) - aStatistics.mRetryShare);
+  if (aStatistics.mRetryShare > kMaxRetryShare) {
     ResetStatistics(aStatistics);
   } else if (isReturn) {
     return;
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -14,11 +14,11 @@
 
 /// Share of its time that a request waits for the first policy; the rest
 /// suffices for its work, or for its client to retry.
-constexpr double kHeldShare = 0.25;
+constexpr double kPolicyWaitShare = 0.25;
 /// Retry delay for refused clients: a starting host has its policy a few tenths
 /// of a second later.
-constexpr Micros kStartingRetry = 200 * kMillisecond;
-constexpr Micros kNoPolicyRetry = 500 * kMillisecond;
+constexpr Micros kStartingRetryDelay = 200 * kMillisecond;
+constexpr Micros kNoPolicyRetryDelay = 500 * kMillisecond;
 
 } // namespace
 
@@ -27,11 +27,12 @@
                    const Arrival& aArrival,
                    Effects& aOut)
 {
-  const auto share =
-    static_cast<Micros>(kHeldShare * static_cast<double>(aArrival.mPatience));
+  const auto share = static_cast<Micros>(
+    kPolicyWaitShare * static_cast<double>(aArrival.mPatience));
   const Micros giveUpAt = std::min(aNow + share, aState.mPolicyExpectedUntil);
   if (giveUpAt <= aNow) {
-    RefuseArrival(aState, aArrival, 503, kNoPolicyRetry, "no_policy_yet", aOut);
+    RefuseArrival(
+      aState, aArrival, 503, kNoPolicyRetryDelay, "no_policy_yet", aOut);
     return;
   }
   aState.mUnrouted[aArrival.mId] = { aArrival, aNow, giveUpAt };
@@ -42,7 +43,7 @@
 {
   if (aState.mMayBeBehind) {
     RefuseArrival(
-      aState, aArrival, 503, kNoPolicyRetry, "policy_may_be_old", aOut);
+      aState, aArrival, 503, kNoPolicyRetryDelay, "policy_may_be_old", aOut);
   } else {
     RefuseArrival(aState, aArrival, 404, 0, "no_route", aOut);
   }
@@ -58,7 +59,7 @@
     RefuseArrival(aState,
                   it->second.mArrival,
                   503,
-                  RetryAfter(aState, kStartingRetry),
+                  RetryAfter(aState, kStartingRetryDelay),
                   "no_policy_yet",
                   aOut);
     it = aState.mUnrouted.erase(it);
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -21,7 +21,7 @@
 constexpr Micros kRechecksPerWork = 10;
 /// A refused client retries after this fraction (1/n) of the time that it has
 /// left, so that enough is left for the work.
-constexpr Micros kReturnShare = 3;
+constexpr Micros kRetryDelayDivisor = 3;
 
 bool IsAwaitingProbes(const State& aState, const Request& aRequest, Micros aNow)
 {
@@ -149,9 +149,9 @@
 
 // The request cannot be on time any more: its client retries when the load may
 // have dropped.
-Micros ReturnTime(const Request& aRequest, Micros aNow)
+Micros RetryDelay(const Request& aRequest, Micros aNow)
 {
-  return (aRequest.mDeadline - aNow) / kReturnShare;
+  return (aRequest.mDeadline - aNow) / kRetryDelayDivisor;
 }
 
 // Sends, refuses or keeps one waiting request.
@@ -204,7 +204,7 @@
              aNow,
              aRequest.mId,
              aRequest.mMayHaveRun ? 502 : 503,
-             RetryAfter(aState, ReturnTime(aRequest, aNow)),
+             RetryAfter(aState, RetryDelay(aRequest, aNow)),
              choice.mVerdict == Verdict::OutOfTime ? "deadline_out_of_reach"
                                                    : "no_target",
              aOut);
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -81,13 +81,13 @@
     const Micros objective = 300 * kMillisecond;
     for (int request = 0; request < 100; ++request) {
       const Micros patience = (800 + 2 * request) * kMillisecond;
-      CPPUNIT_ASSERT(!IsReturn(learnt, patience, objective));
+      CPPUNIT_ASSERT(!IsClientRetry(learnt, patience, objective));
       LearnPatience(learnt, patience, objective);
     }
-    CPPUNIT_ASSERT(!IsReturn(learnt, 790 * kMillisecond, objective));
-    CPPUNIT_ASSERT(IsReturn(learnt, 500 * kMillisecond, objective));
+    CPPUNIT_ASSERT(!IsClientRetry(learnt, 790 * kMillisecond, objective));
+    CPPUNIT_ASSERT(IsClientRetry(learnt, 500 * kMillisecond, objective));
     // Whoever does not say is nobody's return.
-    CPPUNIT_ASSERT(!IsReturn(learnt, 0, objective));
+    CPPUNIT_ASSERT(!IsClientRetry(learnt, 0, objective));
   }
 
   void ClientsThatChangeTheirPatienceAreLearntAnew()
@@ -100,7 +100,7 @@
     for (int request = 0; request < 100; ++request) {
       LearnPatience(learnt, kSecond, objective);
     }
-    CPPUNIT_ASSERT(!IsReturn(learnt, kSecond, objective));
+    CPPUNIT_ASSERT(!IsClientRetry(learnt, kSecond, objective));
   }
 
   // Three slots each, a fifth more than fits: with a last slot that costs more
