--- a/src/dispatch/asking.cpp
+++ b/src/dispatch/asking.cpp
@@ -127,7 +127,7 @@
   return word ^ (word >> 32);
 }
 
-double NextPoint(State& aState) noexcept
+double NextUniform(State& aState) noexcept
 {
   return static_cast<double>(NextRandom(aState) >> 11) / 9007199254740992.0;
 }
--- a/src/dispatch/extra.cpp
+++ b/src/dispatch/extra.cpp
@@ -11,7 +11,7 @@
 constexpr int kSlices = 10;
 /// Share of the bound that is spent: hosts know each other's request counts
 /// only as of their last report, and requests are unevenly distributed.
-constexpr double kSpent = 0.7;
+constexpr double kSpentShare = 0.7;
 
 ExtraWindow::Slice& Current(ExtraWindow& aWindow, Micros aLength, Micros aNow)
 {
@@ -46,7 +46,7 @@
   }
   const double floor =
     aState.mKnowsHosts ? bounds.mExtraFloor / std::max(1, aState.mHosts) : 0;
-  const double allowed = kSpent * (bounds.mExtraRatio * requests + floor);
+  const double allowed = kSpentShare * (bounds.mExtraRatio * requests + floor);
   if (extra + 1 > allowed) {
     return false;
   }
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -104,7 +104,7 @@
                 const Report& aReport,
                 Micros aNow);
 [[nodiscard]] std::uint64_t NextRandom(State& aState) noexcept;
-[[nodiscard]] double NextPoint(State& aState) noexcept;
+[[nodiscard]] double NextUniform(State& aState) noexcept;
 
 // --- choosing.cpp: which target a request goes to; more in choice.h
 [[nodiscard]] Need NeedOf(const State& aState, const Request& aRequest);
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -11,7 +11,7 @@
 
 /// A hedge is considered after this many times the expected time: about one in
 /// six requests takes that long by chance, and a probe is cheap.
-constexpr double kSecondLook = 1.25;
+constexpr double kHedgeDelayFactor = 1.25;
 constexpr Micros kHedgeMin = 30 * kMillisecond;
 /// Connection failures after which a request is given up.
 constexpr int kMaxConnectFailures = 4;
@@ -232,8 +232,8 @@
   aRequest.mTried.insert(aTarget.mId);
   aRequest.mHedging = false;
   const bool idempotent = policy::IsIdempotent(aRequest.mKind);
-  const auto patience =
-    static_cast<Micros>(kSecondLook * static_cast<double>(attempt.mExpected));
+  const auto patience = static_cast<Micros>(
+    kHedgeDelayFactor * static_cast<double>(attempt.mExpected));
   aRequest.mHedgeAt = idempotent && aRequest.mSent < aRequest.mMaxAttempts
                         ? aNow + std::max(kHedgeMin, patience)
                         : 0;
@@ -334,7 +334,7 @@
   request.mClientRequestId = aArrival.mClientRequestId;
   request.mIdentity = IdentityOf(aArrival);
   request.mRoute = route->mName;
-  request.mService = policy::PickBackend(*route, NextPoint(aState));
+  request.mService = policy::PickBackend(*route, NextUniform(aState));
   request.mKind = route->mKind;
   request.mPriority = route->mPriority;
   request.mMaxAttempts = route->mAttempts;
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Above this number, targets that are added together share one log line.
-constexpr std::size_t kBulk = 8;
+constexpr std::size_t kMaxSeparateLogLines = 8;
 /// Share of the probe bound that is spent: hosts come and go faster than they
 /// learn of each other.
 constexpr double kProbeShare = 0.8;
@@ -20,42 +20,44 @@
 constexpr double kSpareCapacityGain = 0.02;
 /// Delay before a new target is probed, and then only if it is still in the
 /// subset: during a rollout subsets change with each announcement.
-constexpr Micros kMeetPause = 2 * kSecond;
+constexpr Micros kNewTargetProbeDelay = 2 * kSecond;
 /// Delay before a probe that exceeded the budget is tried again.
-constexpr Micros kIllPause = 500 * kMillisecond;
+constexpr Micros kProbeBudgetDelay = 500 * kMillisecond;
 
 /// Targets of a service to which one host keeps connections, and how many of
 /// them are in other data centres. Each request probes five: twice as many
 /// leave a choice when some are slow, and are still used often enough to stay
 /// connected.
-constexpr std::size_t kSubset = 12;
-constexpr std::size_t kSubsetAway = 3;
+constexpr std::size_t kSubsetSize = 12;
+constexpr std::size_t kRemoteSubsetSize = 3;
 
 // Rendezvous hashing: every target is in the subsets of about the same number
 // of hosts, and few subsets change when a host or target is added or removed.
 void ChooseSubset(State& aState, Service& aService)
 {
   aService.mSubset = aService.mTargets;
-  if (aService.mTargets.size() <= kSubset) {
+  if (aService.mTargets.size() <= kSubsetSize) {
     return;
   }
-  std::vector<std::pair<std::uint64_t, std::string>> near;
-  std::vector<std::pair<std::uint64_t, std::string>> away;
+  std::vector<std::pair<std::uint64_t, std::string>> local;
+  std::vector<std::pair<std::uint64_t, std::string>> remote;
   for (const std::string& id : aService.mTargets) {
-    const bool isNear = aState.mTargets[id].mDataCentre == aState.mDataCentre;
-    (isNear ? near : away).emplace_back(Hash64(aState.mHostId + id), id);
+    const bool isLocal = aState.mTargets[id].mDataCentre == aState.mDataCentre;
+    (isLocal ? local : remote).emplace_back(Hash64(aState.mHostId + id), id);
   }
-  std::sort(near.begin(), near.end());
-  std::sort(away.begin(), away.end());
-  const std::size_t nearCount = std::min(
-    near.size(),
-    std::max(kSubset - kSubsetAway, kSubset - std::min(kSubset, away.size())));
+  std::sort(local.begin(), local.end());
+  std::sort(remote.begin(), remote.end());
+  const std::size_t localCount =
+    std::min(local.size(),
+             std::max(kSubsetSize - kRemoteSubsetSize,
+                      kSubsetSize - std::min(kSubsetSize, remote.size())));
   aService.mSubset.clear();
-  for (std::size_t i = 0; i < nearCount; ++i) {
-    aService.mSubset.push_back(near[i].second);
+  for (std::size_t i = 0; i < localCount; ++i) {
+    aService.mSubset.push_back(local[i].second);
   }
-  for (std::size_t i = 0; i < away.size() && i < kSubset - nearCount; ++i) {
-    aService.mSubset.push_back(away[i].second);
+  for (std::size_t i = 0; i < remote.size() && i < kSubsetSize - localCount;
+       ++i) {
+    aService.mSubset.push_back(remote[i].second);
   }
 }
 
@@ -127,7 +129,7 @@
 
 // The first probe opens a connection and learns whether a target reports its
 // load. Targets outside the subset are probed only when they are needed.
-void ProbeNewcomers(State& aState, Micros aNow, const Service& aService)
+void ScheduleFirstProbes(State& aState, Micros aNow, const Service& aService)
 {
   // A service that no policy names has no known health path.
   if (!aState.mPolicy || aState.mPolicy->mServices.count(aService.mName) == 0) {
@@ -137,7 +139,7 @@
     Target& target = aState.mTargets[id];
     if (!target.mProbing && target.mProbeSentAt == 0 &&
         target.mNextProbeAt == 0) {
-      target.mNextProbeAt = aNow + kMeetPause;
+      target.mNextProbeAt = aNow + kNewTargetProbeDelay;
       aState.mProbeTimers.emplace(target.mNextProbeAt, id);
     }
   }
@@ -175,7 +177,7 @@
     return;
   }
   if (!budget::Take(aState.mProbeBudget, aNow, 1)) {
-    target.mNextProbeAt = aNow + kIllPause;
+    target.mNextProbeAt = aNow + kProbeBudgetDelay;
     aState.mProbeTimers.emplace(target.mNextProbeAt, aId);
     return;
   }
@@ -199,7 +201,7 @@
     if (service.mHealthPath.empty()) {
       service.mHealthPath = policy::ServiceRules().mHealthPath;
     }
-    ProbeNewcomers(aState, aNow, service);
+    ScheduleFirstProbes(aState, aNow, service);
   }
   SetProbeRate(aState, aNow);
 }
@@ -230,7 +232,7 @@
     }
   }
   // A starting host learns of all targets at once and logs them in one line.
-  const bool bulk = fresh.size() > kBulk;
+  const bool bulk = fresh.size() > kMaxSeparateLogLines;
   if (bulk) {
     Log(aOut, 1, "event=targets_added count=" + std::to_string(fresh.size()));
   }
@@ -242,7 +244,7 @@
       service.mHealthPath = policy::ServiceRules().mHealthPath;
     }
     ChooseSubset(aState, service);
-    ProbeNewcomers(aState, aNow, service);
+    ScheduleFirstProbes(aState, aNow, service);
   }
   SetProbeRate(aState, aNow);
 }
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -12,10 +12,10 @@
 constexpr Micros kLateRecheckFactor = 12;
 /// A target counts as slowed down when its slowness reaches this many times the
 /// value at the choice.
-constexpr double kSlowedDown = 1.8;
+constexpr double kSlowdownRatio = 1.8;
 /// After this many times the expected time a target counts as stuck, whatever
 /// it reports.
-constexpr Micros kOverdue = 3;
+constexpr Micros kOverdueFactor = 3;
 /// A waiting request checks for a free target this many times per service time:
 /// each check costs probes.
 constexpr Micros kRechecksPerWork = 10;
@@ -97,9 +97,9 @@
         return true;
       }
       const bool slower = found->second.mReport->mSlowness >
-                          kSlowedDown * std::max(1.0, aAttempt.mSlowness);
+                          kSlowdownRatio * std::max(1.0, aAttempt.mSlowness);
       const bool overdue =
-        aNow - aAttempt.mSentAt > kOverdue * aAttempt.mExpected;
+        aNow - aAttempt.mSentAt > kOverdueFactor * aAttempt.mExpected;
       return slower || overdue;
     });
 }
@@ -237,7 +237,7 @@
   constexpr Micros kLeast = 100 * kMillisecond;
   const Micros middle = std::max(kLeast, aExpectedWait);
   return middle / 2 +
-         static_cast<Micros>(NextPoint(aState) * static_cast<double>(middle));
+         static_cast<Micros>(NextUniform(aState) * static_cast<double>(middle));
 }
 
 void StartWaiting(State& aState, Micros aNow, Request& aRequest, Effects& aOut)
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -196,8 +196,8 @@
     return;
   }
   const std::string near = NearControl(aState, aNow, aMessage);
-  const bool isNear = aMessage.data_centre() == aState.mSettings.mDataCentre;
-  if (near.empty() || isNear) {
+  const bool isLocal = aMessage.data_centre() == aState.mSettings.mDataCentre;
+  if (near.empty() || isLocal) {
     AcceptOffer(aState, aNow, aFrom, aOut);
     return;
   }
