--- a/src/dispatch/choice.h
+++ b/src/dispatch/choice.h
@@ -16,7 +16,7 @@
 {
   Send,
   ProbeMore,
-  LookAgain,
+  Wait,
   OutOfTime,
   NoTarget
 };
@@ -47,7 +47,7 @@
 
 struct Choice
 {
-  Verdict mVerdict = Verdict::LookAgain;
+  Verdict mVerdict = Verdict::Wait;
   Target* mTarget = nullptr;
 };
 
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -207,7 +207,7 @@
     return { Verdict::OutOfTime, nullptr };
   }
   if (aNow < GiveUpAt(aRequest, aNeed)) {
-    return { Verdict::LookAgain, nullptr };
+    return { Verdict::Wait, nullptr };
   }
   RecordLateOutcome(service, false, aNow);
   return { Verdict::OutOfTime, nullptr };
@@ -252,7 +252,7 @@
 {
   if (!FitsLink(aState, aNeed)) {
     const bool goesOn = aNow < GiveUpAt(aRequest, aNeed);
-    return { goesOn ? Verdict::LookAgain : Verdict::OutOfTime, nullptr };
+    return { goesOn ? Verdict::Wait : Verdict::OutOfTime, nullptr };
   }
   if (Target* unused = UnusedTarget(aCache, aRequest, aNeed, aNow)) {
     return { Verdict::Send, unused };
@@ -286,7 +286,7 @@
   }
   const auto wanted = static_cast<Micros>(kWorkMargin * aNeed.mWork);
   if (aNow + wanted + kRecheckDelay < aRequest.mObjectiveAt) {
-    return { Verdict::LookAgain, nullptr };
+    return { Verdict::Wait, nullptr };
   }
   return LateChoice(aState, aCache, aRequest, aNeed, best, aNow);
 }
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -187,7 +187,7 @@
       }
       ServeRequest(aState, aNow, aCache, aRequest, aNeed, aOut);
       return;
-    case Verdict::LookAgain:
+    case Verdict::Wait:
       if (hedging) {
         StopHedging(aState, aNow, aRequest);
         return;
