--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -129,11 +129,11 @@
   }
 }
 
-void JudgeTarget(State& aState,
-                 Micros aNow,
-                 const Attempt& aAttempt,
-                 const AttemptEnd& aEnd,
-                 Effects& aOut)
+void UpdateTarget(State& aState,
+                  Micros aNow,
+                  const Attempt& aAttempt,
+                  const AttemptEnd& aEnd,
+                  Effects& aOut)
 {
   const auto found = aState.mTargets.find(aAttempt.mTarget);
   if (found == aState.mTargets.end()) {
@@ -200,7 +200,7 @@
   }
   Request& request = found->second;
   const Attempt attempt = *known;
-  JudgeTarget(aState, aNow, attempt, aEnd, aOut);
+  UpdateTarget(aState, aNow, attempt, aEnd, aOut);
   aState.mLargeBytes -= attempt.mLargeBytes;
   RemoveAttempt(request, attempt.mNumber);
   if (aEnd.mKind == EndKind::Broken) {
