--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -47,12 +47,12 @@
   enum class Kind
   {
     /// The answer states no limit.
-    Silent,
-    Named,
+    Absent,
+    Valid,
     /// The stated value is not a rate.
-    Unreadable
+    Invalid
   };
-  Kind mKind = Kind::Silent;
+  Kind mKind = Kind::Absent;
   double mPerSecond = 0;
 };
 
@@ -444,7 +444,7 @@
   /// False while the number of hosts may only cover those heard of so far.
   bool mKnowsHosts = true;
   /// A newer policy may be in force elsewhere, with routes that this one lacks.
-  bool mMayBeBehind = false;
+  bool mPolicyMayBeOutdated = false;
   std::shared_ptr<const policy::TrafficPolicy> mPolicy;
   std::unordered_map<std::string, Target> mTargets;
   std::map<std::string, Service> mServices;
@@ -501,11 +501,17 @@
 /// \brief Admits the requests that arrived before the first policy, once there
 /// is one and the targets are known.
 void AdmitUnrouted(State& aState, Micros aNow, Effects& aOut);
-void TakeProbe(State& aState, Micros aNow, const ProbeEnd& aEnd, Effects& aOut);
-void TakeEnd(State& aState, Micros aNow, const AttemptEnd& aEnd, Effects& aOut);
+void HandleProbeEnd(State& aState,
+                    Micros aNow,
+                    const ProbeEnd& aEnd,
+                    Effects& aOut);
+void HandleAttemptEnd(State& aState,
+                      Micros aNow,
+                      const AttemptEnd& aEnd,
+                      Effects& aOut);
 
 /// \brief Handles a fact from another host.
-void TakeGossip(State& aState,
+void HandleFact(State& aState,
                 Micros aNow,
                 const gossip::Item& aItem,
                 Effects& aOut);
@@ -518,10 +524,10 @@
                     Effects& aOut);
 
 /// \brief Handles a client that disconnected before its answer was complete.
-void ClientLeft(State& aState,
-                Micros aNow,
-                std::uint64_t aRequest,
-                Effects& aOut);
+void HandleClientDisconnect(State& aState,
+                            Micros aNow,
+                            std::uint64_t aRequest,
+                            Effects& aOut);
 
 void Tick(State& aState, Micros aNow, Effects& aOut);
 
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -122,7 +122,7 @@
                  const AttemptEnd& aEnd,
                  Effects& aOut)
 {
-  if (aEnd.mLimit.mKind != StatedLimit::Kind::Silent) {
+  if (aEnd.mLimit.mKind != StatedLimit::Kind::Absent) {
     HandleStatedLimit(aState, aNow, aTarget, aEnd.mLimit, aOut);
   } else if (!aEnd.mNotRun && aEnd.mStatus < kNotSuccess) {
     HandleAbsentLimit(aState, aNow, aTarget, aAttempt.mSentAt, aOut);
@@ -143,7 +143,7 @@
   target.mRunning = std::max(0, target.mRunning - 1);
   if (aEnd.mReport) {
     Service& service = aState.mServices[target.mService];
-    TakeReport(service, target, *aEnd.mReport, aNow);
+    RecordReport(service, target, *aEnd.mReport, aNow);
     target.mSentSinceReport = 0;
   } else {
     target.mSentSinceReport = std::max(0, target.mSentSinceReport - 1);
@@ -188,7 +188,10 @@
 
 } // namespace
 
-void TakeEnd(State& aState, Micros aNow, const AttemptEnd& aEnd, Effects& aOut)
+void HandleAttemptEnd(State& aState,
+                      Micros aNow,
+                      const AttemptEnd& aEnd,
+                      Effects& aOut)
 {
   const auto found = aState.mRequests.find(aEnd.mRequest);
   Attempt* known = found == aState.mRequests.end()
--- a/src/dispatch/facts.cpp
+++ b/src/dispatch/facts.cpp
@@ -3,7 +3,7 @@
 // Dispatches facts about requests and targets received from other hosts.
 namespace geraniumpond::dispatch {
 
-void TakeGossip(State& aState,
+void HandleFact(State& aState,
                 Micros aNow,
                 const gossip::Item& aItem,
                 Effects& aOut)
--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -99,10 +99,10 @@
                      const char* aWhy,
                      Effects& aOut);
 /// \brief Records a target's load report.
-void TakeReport(Service& aService,
-                Target& aTarget,
-                const Report& aReport,
-                Micros aNow);
+void RecordReport(Service& aService,
+                  Target& aTarget,
+                  const Report& aReport,
+                  Micros aNow);
 [[nodiscard]] std::uint64_t NextRandom(State& aState) noexcept;
 [[nodiscard]] double NextUniform(State& aState) noexcept;
 
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -90,7 +90,7 @@
                        const StatedLimit& aLimit,
                        Effects& aOut)
 {
-  if (aLimit.mKind == StatedLimit::Kind::Unreadable) {
+  if (aLimit.mKind == StatedLimit::Kind::Invalid) {
     ++aState.mCounters["limits_unreadable"];
     Log(aOut, 2, "event=limit_unreadable target=" + aTarget.mId);
     return;
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -391,10 +391,10 @@
   ServeQueue(aState, aNow, added.mService, aOut);
 }
 
-void ClientLeft(State& aState,
-                Micros aNow,
-                std::uint64_t aRequest,
-                Effects& aOut)
+void HandleClientDisconnect(State& aState,
+                            Micros aNow,
+                            std::uint64_t aRequest,
+                            Effects& aOut)
 {
   aState.mUnrouted.erase(aRequest);
   const auto found = aState.mRequests.find(aRequest);
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -255,10 +255,10 @@
   SetProbeRate(aState, aNow);
 }
 
-void TakeReport(Service& aService,
-                Target& aTarget,
-                const Report& aReport,
-                Micros aNow)
+void RecordReport(Service& aService,
+                  Target& aTarget,
+                  const Report& aReport,
+                  Micros aNow)
 {
   if (aTarget.mReport) {
     const Micros gap = aNow - aTarget.mReportAt;
@@ -273,7 +273,10 @@
   aTarget.mReportAt = aNow;
 }
 
-void TakeProbe(State& aState, Micros aNow, const ProbeEnd& aEnd, Effects& aOut)
+void HandleProbeEnd(State& aState,
+                    Micros aNow,
+                    const ProbeEnd& aEnd,
+                    Effects& aOut)
 {
   const auto found = aState.mTargets.find(aEnd.mTarget);
   if (found == aState.mTargets.end()) {
@@ -302,7 +305,7 @@
     MarkAvailable(target, aOut);
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
-      TakeReport(known, target, *aEnd.mReport, aNow);
+      RecordReport(known, target, *aEnd.mReport, aNow);
       const bool room = ShowsSpareCapacity(*aEnd.mReport, known.mCurve);
       known.mSpareCapacityShare +=
         kSpareCapacityGain * ((room ? 1 : 0) - known.mSpareCapacityShare);
@@ -313,7 +316,7 @@
   if (aEnd.mAnswered && !other) {
     // A target may state its limit only in answers to requests, so a probe
     // without a limit says nothing.
-    if (aEnd.mLimit.mKind != StatedLimit::Kind::Silent) {
+    if (aEnd.mLimit.mKind != StatedLimit::Kind::Absent) {
       HandleStatedLimit(aState, aNow, target, aEnd.mLimit, aOut);
     }
     HandleTargetAlive(aState, aNow, target, aOut);
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -41,7 +41,7 @@
 // A 404 states that the route does not exist, and clients do not retry it.
 void RefuseUnknownRoute(State& aState, const Arrival& aArrival, Effects& aOut)
 {
-  if (aState.mMayBeBehind) {
+  if (aState.mPolicyMayBeOutdated) {
     RefuseArrival(
       aState, aArrival, 503, kNoPolicyRetryDelay, "policy_may_be_old", aOut);
   } else {
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -80,8 +80,8 @@
     });
   const bool sound = named == 1 && read.ec == std::errc() && read.ptr == end &&
                      std::isfinite(perSecond) && perSecond >= 0;
-  return sound ? dispatch::StatedLimit{ Kind::Named, perSecond }
-               : dispatch::StatedLimit{ Kind::Unreadable, 0 };
+  return sound ? dispatch::StatedLimit{ Kind::Valid, perSecond }
+               : dispatch::StatedLimit{ Kind::Invalid, 0 };
 }
 
 /// \brief One connection to one target; carries one exchange at a time.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
   }
   for (const gossip::Item& item : aFleet.mNews) {
     dispatch::Effects effects;
-    dispatch::TakeGossip(state.mDispatch, aContext.mNow, item, effects);
+    dispatch::HandleFact(state.mDispatch, aContext.mNow, item, effects);
     Append(aContext, std::move(effects));
   }
   for (const fleet::Note& note : aFleet.mNotes) {
@@ -276,7 +276,7 @@
   void operator()(const dispatch::Arrival& aEvent)
   {
     State& state = mContext.mState;
-    state.mDispatch.mMayBeBehind =
+    state.mDispatch.mPolicyMayBeOutdated =
       !fleet::IsInTouch(state.mFleet, mContext.mNow);
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
       dispatch::Arrive(mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
@@ -285,20 +285,21 @@
   void operator()(const dispatch::ProbeEnd& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::TakeProbe(
+      dispatch::HandleProbeEnd(
         mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const dispatch::AttemptEnd& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::TakeEnd(mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
+      dispatch::HandleAttemptEnd(
+        mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const ClientGone& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::ClientLeft(
+      dispatch::HandleClientDisconnect(
         mContext.mState.mDispatch, mContext.mNow, aEvent.mRequest, aOut);
     });
   }
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -181,7 +181,7 @@
     end.mKind = EndKind::Broken;
     end.mReason = "reset";
     Effects effects;
-    TakeEnd(mState, mNow, end, effects);
+    HandleAttemptEnd(mState, mNow, end, effects);
     return effects;
   }
 
@@ -196,7 +196,7 @@
     end.mAnsweredBy = aAnswer == Answer::Other ? "u" : "t";
     end.mReport = Report{ 0, 0, 4, 1 };
     Effects effects;
-    TakeProbe(mState, mNow, end, effects);
+    HandleProbeEnd(mState, mNow, end, effects);
     return effects;
   }
 
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -245,10 +245,10 @@
   {
     AddTargets(5);
     const SendRequest safe = ArriveAndSend("/safe/x");
-    ClientLeft(mState, mNow, safe.mRequest, mEffects);
+    HandleClientDisconnect(mState, mNow, safe.mRequest, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<CancelAttempt>(mEffects).size());
     const SendRequest unsafe = ArriveAndSend("/unsafe/x");
-    ClientLeft(mState, mNow, unsafe.mRequest, mEffects);
+    HandleClientDisconnect(mState, mNow, unsafe.mRequest, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<CancelAttempt>(mEffects).size());
     End(unsafe, EndKind::Answered, 200, false);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
@@ -376,7 +376,7 @@
     CPPUNIT_ASSERT_EQUAL(503, All<ReplyToClient>(mEffects).at(0).mStatus);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", kSecond);
-    ClientLeft(mState, mNow, mLast, mEffects);
+    HandleClientDisconnect(mState, mNow, mLast, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
@@ -591,7 +591,7 @@
     other.mHealthy = true;
     other.mAnsweredBy = "another";
     other.mReport = Report{ 0, 0, 2, 1 };
-    TakeProbe(mState, mNow, other, mEffects);
+    HandleProbeEnd(mState, mNow, other, mEffects);
     AnswerProbe(Name(1), { 1, 0, 2, 1 });
     CPPUNIT_ASSERT_EQUAL(Name(1), All<SendRequest>(mEffects).back().mTarget);
   }
@@ -717,7 +717,7 @@
     end.mHealthy = true;
     end.mAnsweredBy = aName;
     end.mReport = aReport;
-    TakeProbe(mState, mNow, end, mEffects);
+    HandleProbeEnd(mState, mNow, end, mEffects);
   }
 
   // Every target that was asked says that it is empty and works as usual.
@@ -755,7 +755,7 @@
     end.mStatus = aStatus;
     end.mNotRun = aNotRun;
     end.mReport = aReport;
-    TakeEnd(mState, mNow, end, mEffects);
+    HandleAttemptEnd(mState, mNow, end, mEffects);
   }
 
   void EndWithBytes(const SendRequest& aSent, std::uint64_t aBytes)
@@ -767,7 +767,7 @@
     end.mKind = EndKind::Answered;
     end.mStatus = 200;
     end.mBytes = aBytes;
-    TakeEnd(mState, mNow, end, mEffects);
+    HandleAttemptEnd(mState, mNow, end, mEffects);
   }
 
   void Advance(Micros aTime)
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -154,7 +154,7 @@
         end.mAnsweredBy = target;
         end.mReport = ReportOf(mTargets.at(target));
         dispatch::Effects effects;
-        dispatch::TakeProbe(mHosts[aHost], mNow, end, effects);
+        dispatch::HandleProbeEnd(mHosts[aHost], mNow, end, effects);
         Perform(aHost, effects);
       });
     } else if (const auto* send = std::get_if<dispatch::SendRequest>(&effect)) {
@@ -271,7 +271,7 @@
     end.mStatus = 200;
     end.mReport = report;
     dispatch::Effects effects;
-    dispatch::TakeEnd(mHosts[job.mHost], mNow, end, effects);
+    dispatch::HandleAttemptEnd(mHosts[job.mHost], mNow, end, effects);
     Perform(job.mHost, effects);
   });
 }
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -381,7 +381,7 @@
 dispatch::StatedLimit GatewayWorld::LimitOf(const FakeTarget& aTarget)
 {
   using Kind = dispatch::StatedLimit::Kind;
-  return { aTarget.mLimit > 0 ? Kind::Named : Kind::Silent, aTarget.mLimit };
+  return { aTarget.mLimit > 0 ? Kind::Valid : Kind::Absent, aTarget.mLimit };
 }
 
 dispatch::Report GatewayWorld::ReportOf(const FakeTarget& aTarget) const
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -197,22 +197,22 @@
     const auto read = [](const HeaderFields& aFields) {
       return ReadLimit(aFields, "Target-Limit");
     };
-    CPPUNIT_ASSERT(read({ { "Other", "1" } }).mKind == Kind::Silent);
+    CPPUNIT_ASSERT(read({ { "Other", "1" } }).mKind == Kind::Absent);
     for (const std::string text : { "3.4", " 3.4", "3.40", "34e-1" }) {
       const dispatch::StatedLimit word = read({ { "target-limit", text } });
-      CPPUNIT_ASSERT_MESSAGE(text, word.mKind == Kind::Named);
+      CPPUNIT_ASSERT_MESSAGE(text, word.mKind == Kind::Valid);
       CPPUNIT_ASSERT_DOUBLES_EQUAL(3.4, word.mPerSecond, 1e-9);
     }
-    CPPUNIT_ASSERT(read({ { "Target-Limit", "0" } }).mKind == Kind::Named);
-    CPPUNIT_ASSERT(read({ { "Target-Limit", "1e300" } }).mKind == Kind::Named);
+    CPPUNIT_ASSERT(read({ { "Target-Limit", "0" } }).mKind == Kind::Valid);
+    CPPUNIT_ASSERT(read({ { "Target-Limit", "1e300" } }).mKind == Kind::Valid);
     for (const std::string text :
          { "", "-1", "few", "nan", "inf", "-inf", "1e999", "3,4", "3 4" }) {
       CPPUNIT_ASSERT_MESSAGE(
-        text, read({ { "Target-Limit", text } }).mKind == Kind::Unreadable);
+        text, read({ { "Target-Limit", text } }).mKind == Kind::Invalid);
     }
     const HeaderFields twice = { { "Target-Limit", "3" },
                                  { "Target-Limit", "4" } };
-    CPPUNIT_ASSERT(read(twice).mKind == Kind::Unreadable);
+    CPPUNIT_ASSERT(read(twice).mKind == Kind::Invalid);
   }
 
   void LoadIsReadWhereItIsSound()
