--- a/include/geraniumpond/dispatch.h
+++ b/include/geraniumpond/dispatch.h
@@ -496,7 +496,10 @@
 /// \brief Identity of a request: equal for requests with the same content.
 [[nodiscard]] std::uint64_t IdentityOf(const Arrival& aArrival);
 
-void Arrive(State& aState, Micros aNow, const Arrival& aArrival, Effects& aOut);
+void HandleArrival(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut);
 
 /// \brief Admits the requests that arrived before the first policy, once there
 /// is one and the targets are known.
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -307,7 +307,10 @@
     ReplyToClient{ aArrival.mId, aStatus, aRetryAfter, aReason });
 }
 
-void Arrive(State& aState, Micros aNow, const Arrival& aArrival, Effects& aOut)
+void HandleArrival(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut)
 {
   ++aState.mCounters["requests"];
   if (!aState.mPolicy) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -279,7 +279,8 @@
     state.mDispatch.mPolicyMayBeOutdated =
       !fleet::IsInTouch(state.mFleet, mContext.mNow);
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::Arrive(mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
+      dispatch::HandleArrival(
+        mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const dispatch::ProbeEnd& aEvent)
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -160,7 +160,7 @@
     arrival.mPath = aPath;
     arrival.mPatience = kSecond;
     Effects effects;
-    Arrive(mState, mNow, arrival, effects);
+    HandleArrival(mState, mNow, arrival, effects);
     return effects;
   }
 
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -699,7 +699,7 @@
     arrival.mClientRequestId = "r" + std::to_string(mLast);
     arrival.mHostName = "host";
     arrival.mPath = aPath;
-    dispatch::Arrive(mState, mNow, arrival, mEffects);
+    dispatch::HandleArrival(mState, mNow, arrival, mEffects);
   }
 
   void AnswerProbe(const std::string& aTarget, const Report& aReport)
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -200,7 +200,7 @@
     2 * mLoad.mTimeout - (mNow - mClients.at(aClient).mStartedAt);
   mClientOf[arrival.mId] = aClient;
   dispatch::Effects effects;
-  dispatch::Arrive(mHosts[host], mNow, arrival, effects);
+  dispatch::HandleArrival(mHosts[host], mNow, arrival, effects);
   Perform(host, effects);
 }
 
