--- a/src/dispatch/internal.h
+++ b/src/dispatch/internal.h
@@ -80,7 +80,7 @@
                              ExtraWindow& aWindow,
                              Micros aNow);
 
-// --- asking.cpp: load probes before a choice
+// --- probing.cpp: load probes before a choice
 /// \brief Probes candidate targets for a request; true when any answer is
 /// awaited.
 bool ProbeCandidates(State& aState,
@@ -106,7 +106,7 @@
 [[nodiscard]] std::uint64_t NextRandom(State& aState) noexcept;
 [[nodiscard]] double NextUniform(State& aState) noexcept;
 
-// --- choosing.cpp: which target a request goes to; more in choice.h
+// --- choice.cpp: which target a request goes to; more in choice.h
 [[nodiscard]] Need NeedOf(const State& aState, const Request& aRequest);
 
 // --- waiting.cpp: the queue of requests that wait for a target
@@ -233,7 +233,7 @@
 void ExpireUnrouted(State& aState, Micros aNow, Effects& aOut);
 [[nodiscard]] Micros NextUnroutedTime(const State& aState) noexcept;
 
-// --- returning.cpp: retries by clients
+// --- client_retries.cpp: retries by clients
 /// \brief True when a request's remaining client timeout shows that it is a
 /// retry: its client has already waited longer than the route's latency
 /// objective.
