--- a/src/dispatch/choice.cpp
+++ b/src/dispatch/choice.cpp
@@ -109,13 +109,13 @@
   if (aCache.mWithSpareCapacity) {
     return *aCache.mWithSpareCapacity;
   }
-  const auto has = [&](const Target* aTarget) {
+  const auto hasSpareCapacity = [&](const Target* aTarget) {
     return !aTarget->mUnavailable && IsWithinLimit(*aTarget, aNow) &&
            IsUncrowded(*aTarget, aNeed.mService->mCurve, aNow) &&
            aTarget->mReport->mSlowness <= kUsualSlowness;
   };
-  aCache.mWithSpareCapacity = static_cast<std::size_t>(
-    std::count_if(aCache.mFresh.begin(), aCache.mFresh.end(), has));
+  aCache.mWithSpareCapacity = static_cast<std::size_t>(std::count_if(
+    aCache.mFresh.begin(), aCache.mFresh.end(), hasSpareCapacity));
   return *aCache.mWithSpareCapacity;
 }
 
@@ -159,11 +159,11 @@
                    Target* aBest,
                    Micros aNow)
 {
-  const bool takes =
+  const bool accepts =
     aBest != nullptr && IsUncrowded(*aBest, aNeed.mService->mCurve, aNow) &&
     ExpectedTime(*aBest, aNeed, aNow) <= aRequest.mDeadline - aNow;
-  return takes ? Choice{ Verdict::Send, aBest }
-               : Choice{ Verdict::OutOfTime, nullptr };
+  return accepts ? Choice{ Verdict::Send, aBest }
+                 : Choice{ Verdict::OutOfTime, nullptr };
 }
 
 bool HasSpareCapacity(const State& aState,
@@ -236,10 +236,10 @@
 
 Micros GiveUpAt(const Request& aRequest, const Need& aNeed)
 {
-  const Micros whole = aRequest.mDeadline - aRequest.mArrivedAt;
-  const auto kept =
-    static_cast<Micros>(kTimeKeptForRetry * static_cast<double>(whole));
-  return aRequest.mDeadline - std::max(kept, aNeed.mWork + kRecheckDelay);
+  const Micros total = aRequest.mDeadline - aRequest.mArrivedAt;
+  const auto reserved =
+    static_cast<Micros>(kTimeKeptForRetry * static_cast<double>(total));
+  return aRequest.mDeadline - std::max(reserved, aNeed.mWork + kRecheckDelay);
 }
 
 // A request waits for a target that meets its objective as long as one may
@@ -251,19 +251,20 @@
               Micros aNow)
 {
   if (!FitsLink(aState, aNeed)) {
-    const bool goesOn = aNow < GiveUpAt(aRequest, aNeed);
-    return { goesOn ? Verdict::Wait : Verdict::OutOfTime, nullptr };
+    const bool canWait = aNow < GiveUpAt(aRequest, aNeed);
+    return { canWait ? Verdict::Wait : Verdict::OutOfTime, nullptr };
   }
   if (Target* unused = UnusedTarget(aCache, aRequest, aNeed, aNow)) {
     return { Verdict::Send, unused };
   }
   const Service& service = *aNeed.mService;
-  const bool tells = service.mReportsLoad;
+  const bool reportsLoad = service.mReportsLoad;
   // A late request gets one round of probes: requests that are on time need the
   // probe budget.
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
-  const bool more = tells && aRequest.mProbeRound < (late ? 1 : kProbeRounds);
-  Target* best = tells
+  const bool mayProbe =
+    reportsLoad && aRequest.mProbeRound < (late ? 1 : kProbeRounds);
+  Target* best = reportsLoad
                    ? BestFresh(aCache, aRequest, aNeed, aNow)
                    : Best(AllTargets(aState, service), aRequest, aNeed, aNow);
   if (best != nullptr && HasFreeSlot(*best, aNow) &&
@@ -272,7 +273,7 @@
       aNow + ExpectedTime(*best, aNeed, aNow) <= aRequest.mObjectiveAt) {
     return { Verdict::Send, best };
   }
-  if (more) {
+  if (mayProbe) {
     return { Verdict::ProbeMore, nullptr };
   }
   if (best == nullptr && !AnyUntried(aState, aRequest)) {
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -132,10 +132,10 @@
 bool FitsLink(const State& aState, const Need& aNeed) noexcept
 {
   const double bytes = LargeBytes(aState, aNeed);
-  const double most = aState.mBounds.mLinkBytesPerSecond *
-                      static_cast<double>(kLargeAnswersTime) / kSecond;
+  const double maxBytes = aState.mBounds.mLinkBytesPerSecond *
+                          static_cast<double>(kLargeAnswersTime) / kSecond;
   return bytes == 0 || aState.mLargeBytes == 0 ||
-         aState.mLargeBytes + bytes <= most;
+         aState.mLargeBytes + bytes <= maxBytes;
 }
 
 double FailureShare(const Target& aTarget, Micros aNow) noexcept
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -161,17 +161,17 @@
 
 void HandleTargetEnd(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
-  const std::vector<BrokenAnswer> ends =
+  const std::vector<BrokenAnswer> broken =
     std::exchange(aTarget.mBrokenAnswers, {});
   if (!aTarget.mEnded) {
     ++aState.mCounters["targets_ended"];
     Log(aOut,
         2,
         "event=target_ended target=" + aTarget.mId + " service=" +
-          aTarget.mService + " requests=" + std::to_string(ends.size()));
+          aTarget.mService + " requests=" + std::to_string(broken.size()));
   }
   aTarget.mEnded = true;
-  for (const BrokenAnswer& end : ends) {
+  for (const BrokenAnswer& end : broken) {
     if (aNow - end.mBrokenAt <= kBrokenAnswerLifetime) {
       RecordCrash(aState, aNow, aTarget, end.mIdentity, aOut);
     }
@@ -183,17 +183,17 @@
                              Target& aTarget,
                              Effects& aOut)
 {
-  const bool open =
+  const bool unresolved =
     std::any_of(aTarget.mBrokenAnswers.begin(),
                 aTarget.mBrokenAnswers.end(),
                 [&](const BrokenAnswer& aEnd) {
                   return aEnd.mBrokenAt > aTarget.mProbeSentAt &&
                          aNow - aEnd.mBrokenAt <= kBrokenAnswerLifetime;
                 });
-  if (open) {
+  if (unresolved) {
     ProbeNow(aState, aNow, aTarget, aOut);
   }
-  return open;
+  return unresolved;
 }
 
 void HandleTargetAlive(State& aState,
@@ -202,13 +202,13 @@
                        Effects& aOut)
 {
   aTarget.mEnded = false;
-  auto& ends = aTarget.mBrokenAnswers;
-  ends.erase(std::remove_if(ends.begin(),
-                            ends.end(),
-                            [&](const BrokenAnswer& aEnd) {
-                              return aEnd.mBrokenAt <= aTarget.mProbeSentAt;
-                            }),
-             ends.end());
+  auto& broken = aTarget.mBrokenAnswers;
+  broken.erase(std::remove_if(broken.begin(),
+                              broken.end(),
+                              [&](const BrokenAnswer& aEnd) {
+                                return aEnd.mBrokenAt <= aTarget.mProbeSentAt;
+                              }),
+               broken.end());
   (void)ProbeAfterBrokenAnswers(aState, aNow, aTarget, aOut);
 }
 
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -56,23 +56,23 @@
     return;
   }
   Service& service = aState.mServices[aRequest.mService];
-  RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
-  learnt.mLearntAt = aNow;
-  const double took = static_cast<double>(aNow - aAttempt.mSentAt);
+  RouteStatistics& statistics = aState.mStatistics[aRequest.mRoute];
+  statistics.mLearntAt = aNow;
+  const double elapsed = static_cast<double>(aNow - aAttempt.mSentAt);
   const int occupancy = aAttempt.mOccupancy;
   const int slots = aAttempt.mSlots;
   const double factor = LatencyFactorAt(service.mCurve, occupancy, slots) *
                         (aAttempt.mCold ? service.mColdLatencyFactor : 1);
-  if (learnt.mWork <= 0) {
-    LearnWork(learnt, took / factor);
-    learnt.mAnswerBytes = static_cast<double>(aEnd.mBytes);
+  if (statistics.mWork <= 0) {
+    LearnWork(statistics, elapsed / factor);
+    statistics.mAnswerBytes = static_cast<double>(aEnd.mBytes);
     return;
   }
-  learnt.mAnswerBytes +=
-    kWorkGain * (static_cast<double>(aEnd.mBytes) - learnt.mAnswerBytes);
+  statistics.mAnswerBytes +=
+    kWorkGain * (static_cast<double>(aEnd.mBytes) - statistics.mAnswerBytes);
   // A single slow answer must not double an estimate.
-  const double ratio = std::min(took / learnt.mWork, kMaxLatencyRatio);
-  const bool told =
+  const double ratio = std::min(elapsed / statistics.mWork, kMaxLatencyRatio);
+  const bool freshReport =
     aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kMaxReportAge;
   if (aAttempt.mCold) {
     service.mColdLatencyFactor +=
@@ -80,11 +80,11 @@
     service.mColdLatencyFactor = std::max(1.0, service.mColdLatencyFactor);
     return;
   }
-  if (told && occupancy > 0 && occupancy < slots) {
+  if (freshReport && occupancy > 0 && occupancy < slots) {
     LearnLatencyFactor(service.mCurve, occupancy, slots, ratio);
   }
   if (occupancy < slots) {
-    LearnWork(learnt, ratio * learnt.mWork / factor);
+    LearnWork(statistics, ratio * statistics.mWork / factor);
   }
 }
 
@@ -230,10 +230,10 @@
     request.mMayHaveRun = true;
     const bool failed =
       aEnd.mKind == EndKind::Broken || aEnd.mStatus >= kServerError;
-    const bool again =
+    const bool retry =
       failed && policy::IsIdempotent(request.mKind) &&
       (request.mSent < request.mMaxAttempts || !request.mAttempts.empty());
-    if (!failed || (aEnd.mKind == EndKind::Answered && !again)) {
+    if (!failed || (aEnd.mKind == EndKind::Answered && !retry)) {
       Learn(aState, request, attempt, aEnd, aNow);
       Deliver(aState, aNow, request, attempt, aEnd, aOut);
     } else {
--- a/src/dispatch/learning.cpp
+++ b/src/dispatch/learning.cpp
@@ -74,14 +74,14 @@
 // with all slots occupied.
 int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept
 {
-  const double all = aSlots / LatencyFactorAt(aCurve, aSlots - 1, aSlots);
+  const double fullRate = aSlots / LatencyFactorAt(aCurve, aSlots - 1, aSlots);
   int best = aSlots;
-  double most = all * kMinThroughputGain;
+  double bestRate = fullRate * kMinThroughputGain;
   for (int limit = 1; limit < aSlots; ++limit) {
     const double rate = limit / LatencyFactorAt(aCurve, limit - 1, aSlots);
-    if (rate > most) {
+    if (rate > bestRate) {
       best = limit;
-      most = rate;
+      bestRate = rate;
     }
   }
   return best;
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -32,10 +32,11 @@
 
 void UpdateLimitedTargets(Service& aService, const Target& aTarget)
 {
-  auto& held = aService.mLimitedTargets;
-  held.erase(std::remove(held.begin(), held.end(), aTarget.mId), held.end());
+  auto& limited = aService.mLimitedTargets;
+  limited.erase(std::remove(limited.begin(), limited.end(), aTarget.mId),
+                limited.end());
   if (aTarget.mLimit && aTarget.mShare.mPart > 0) {
-    held.push_back(aTarget.mId);
+    limited.push_back(aTarget.mId);
   }
 }
 
@@ -130,15 +131,15 @@
   Target& target = found->second;
   const char* end = aItem.mValue.data() + aItem.mValue.size();
   double perSecond = 0;
-  const bool named =
+  const bool stated =
     std::from_chars(aItem.mValue.data(), end, perSecond).ec == std::errc();
   if (aItem.mSeenAt <= target.mLimitAt) {
     return;
   }
   target.mLimitAt = aItem.mSeenAt;
-  if (named && !IsAboutTheSame(target, perSecond)) {
+  if (stated && !IsAboutTheSame(target, perSecond)) {
     SetLimit(aState, aNow, target, perSecond, aOut);
-  } else if (!named && target.mLimit) {
+  } else if (!stated && target.mLimit) {
     SetLimit(aState, aNow, target, std::nullopt, aOut);
   }
 }
--- a/src/dispatch/probing.cpp
+++ b/src/dispatch/probing.cpp
@@ -49,18 +49,18 @@
                      std::vector<Target*>& aTargets)
 {
   const Service& service = aState.mServices[aRequest.mService];
-  std::vector<Target*> held =
+  std::vector<Target*> limited =
     Usable(aState, aNow, aRequest, service.mLimitedTargets, false);
-  if (held.empty()) {
+  if (limited.empty()) {
     return;
   }
-  Shuffle(aState, held);
-  held.resize(std::min(held.size(), kLimitedTargetsProbed));
-  for (Target* target : held) {
+  Shuffle(aState, limited);
+  limited.resize(std::min(limited.size(), kLimitedTargetsProbed));
+  for (Target* target : limited) {
     aTargets.erase(std::remove(aTargets.begin(), aTargets.end(), target),
                    aTargets.end());
   }
-  aTargets.insert(aTargets.begin(), held.begin(), held.end());
+  aTargets.insert(aTargets.begin(), limited.begin(), limited.end());
 }
 
 // Targets of the local data centre come first, in random order. Targets with a
@@ -71,23 +71,24 @@
                                 std::size_t aCount)
 {
   const Service& service = aState.mServices[aRequest.mService];
-  std::vector<Target*> all =
+  std::vector<Target*> candidates =
     Usable(aState, aNow, aRequest, service.mSubset, false);
-  if (all.empty() && aRequest.mProbed.empty()) {
-    all = Usable(aState, aNow, aRequest, service.mTargets, false);
+  if (candidates.empty() && aRequest.mProbed.empty()) {
+    candidates = Usable(aState, aNow, aRequest, service.mTargets, false);
   }
-  if (all.empty() && aRequest.mProbeRound == 0) {
-    all = Usable(aState, aNow, aRequest, service.mTargets, true);
+  if (candidates.empty() && aRequest.mProbeRound == 0) {
+    candidates = Usable(aState, aNow, aRequest, service.mTargets, true);
   }
-  Shuffle(aState, all);
-  std::stable_partition(all.begin(), all.end(), [&](const Target* aTarget) {
-    return aTarget->mDataCentre == aState.mDataCentre;
-  });
-  PutLimitedFirst(aState, aNow, aRequest, all);
-  if (all.size() > aCount) {
-    all.resize(aCount);
+  Shuffle(aState, candidates);
+  std::stable_partition(
+    candidates.begin(), candidates.end(), [&](const Target* aTarget) {
+      return aTarget->mDataCentre == aState.mDataCentre;
+    });
+  PutLimitedFirst(aState, aNow, aRequest, candidates);
+  if (candidates.size() > aCount) {
+    candidates.resize(aCount);
   }
-  return all;
+  return candidates;
 }
 
 // Number of probes after which only kMaxMissShare of the choices find no target
@@ -122,9 +123,9 @@
 {
   aState.mRandom =
     aState.mRandom * 6364136223846793005ULL + 1442695040888963407ULL;
-  std::uint64_t word = aState.mRandom;
-  word = (word ^ (word >> 32)) * 0xd6e8feb86659fd93ULL;
-  return word ^ (word >> 32);
+  std::uint64_t bits = aState.mRandom;
+  bits = (bits ^ (bits >> 32)) * 0xd6e8feb86659fd93ULL;
+  return bits ^ (bits >> 32);
 }
 
 double NextUniform(State& aState) noexcept
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -78,13 +78,13 @@
                              Micros aNow,
                              const Request& aRequest)
 {
-  RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
+  RouteStatistics& statistics = aState.mStatistics[aRequest.mRoute];
   const bool isFirstTry = aRequest.mObjectiveAt > aNow;
-  const auto work = static_cast<Micros>(learnt.mWork);
+  const auto work = static_cast<Micros>(statistics.mWork);
   if (isFirstTry && aNow + work > aRequest.mDeadline &&
-      aNow - learnt.mLearntAt > kEstimateLifetime) {
-    learnt.mWork = 0;
-    learnt.mAnswers = 0;
+      aNow - statistics.mLearntAt > kEstimateLifetime) {
+    statistics.mWork = 0;
+    statistics.mAnswers = 0;
   }
 }
 
@@ -263,11 +263,11 @@
   }
   const bool repeatable =
     policy::IsIdempotent(aRequest.mKind) || !aRequest.mMayHaveRun;
-  const bool room = aRequest.mSent < aRequest.mMaxAttempts &&
-                    aRequest.mConnectFailures < kMaxConnectFailures;
+  const bool attemptsLeft = aRequest.mSent < aRequest.mMaxAttempts &&
+                            aRequest.mConnectFailures < kMaxConnectFailures;
   const Need need = NeedOf(aState, aRequest);
-  const bool time = aNow + need.mWork < aRequest.mDeadline;
-  if (!repeatable || !room || !time) {
+  const bool timeLeft = aNow + need.mWork < aRequest.mDeadline;
+  if (!repeatable || !attemptsLeft || !timeLeft) {
     Refuse(aState,
            aNow,
            aRequest.mId,
@@ -365,10 +365,10 @@
   }
   const quarantine::Verdict verdict =
     JudgeQuarantine(aState, request.mIdentity, request.mService, aNow);
-  const bool elsewhere =
+  const bool assignedElsewhere =
     verdict == quarantine::Verdict::OnTrial &&
     !rate_share::IsFirst(aState.mLimitHosts, Hexadecimal(request.mIdentity));
-  if (verdict == quarantine::Verdict::Quarantined || elsewhere) {
+  if (verdict == quarantine::Verdict::Quarantined || assignedElsewhere) {
     // The quarantine outlasts the client's timeout, so no Retry-After is given.
     RenewQuarantine(aState, aNow, request.mIdentity, aOut);
     RefuseArrival(aState, aArrival, kUnavailable, 0, "quarantined", aOut);
@@ -444,9 +444,9 @@
     ProbeRunningTargets(aState, aNow, request, aOut);
   }
   ServeQueue(aState, aNow, service, aOut);
-  const auto still = aState.mRequests.find(aRequest);
-  if (still != aState.mRequests.end() && !still->second.mDetached) {
-    SetTimer(aState, still->second);
+  const auto remaining = aState.mRequests.find(aRequest);
+  if (remaining != aState.mRequests.end() && !remaining->second.mDetached) {
+    SetTimer(aState, remaining->second);
   }
 }
 
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -211,32 +211,32 @@
                 const std::map<std::string, wire::TargetRecord>& aTargets,
                 Effects& aOut)
 {
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, target] : aState.mTargets) {
     const auto found = aTargets.find(target.mName);
     if (found == aTargets.end() || IncarnationOf(found->second) != id ||
         found->second.draining() ||
         found->second.address() != target.mAddress ||
         found->second.service() != target.mService) {
-      gone.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const std::string& id : gone) {
+  for (const std::string& id : removed) {
     RemoveTarget(aState, id, aOut);
   }
-  std::vector<const wire::TargetRecord*> fresh;
+  std::vector<const wire::TargetRecord*> added;
   for (const auto& [id, record] : aTargets) {
     if (!record.draining() &&
         aState.mTargets.count(IncarnationOf(record)) == 0) {
-      fresh.push_back(&record);
+      added.push_back(&record);
     }
   }
   // A starting host learns of all targets at once and logs them in one line.
-  const bool bulk = fresh.size() > kMaxSeparateLogLines;
+  const bool bulk = added.size() > kMaxSeparateLogLines;
   if (bulk) {
-    Log(aOut, 1, "event=targets_added count=" + std::to_string(fresh.size()));
+    Log(aOut, 1, "event=targets_added count=" + std::to_string(added.size()));
   }
-  for (const wire::TargetRecord* record : fresh) {
+  for (const wire::TargetRecord* record : added) {
     AddTarget(aState, aNow, *record, bulk, aOut);
   }
   for (auto& [name, service] : aState.mServices) {
@@ -285,7 +285,7 @@
   Target& target = found->second;
   const std::string service = target.mService;
   target.mProbing = false;
-  const bool other =
+  const bool otherTarget =
     !aEnd.mAnsweredBy.empty() && aEnd.mAnsweredBy != target.mName;
   if (!aEnd.mAnswered && aEnd.mRefused) {
     HandleTargetEnd(aState, aNow, target, aOut);
@@ -294,7 +294,7 @@
     if (!ProbeAfterBrokenAnswers(aState, aNow, target, aOut)) {
       MarkUnavailable(aState, aNow, target, "probe_unanswered", aOut);
     }
-  } else if (other) {
+  } else if (otherTarget) {
     HandleTargetEnd(aState, aNow, target, aOut);
     MarkUnavailable(aState, aNow, target, "address_taken", aOut);
   } else if (!aEnd.mHealthy) {
@@ -306,14 +306,15 @@
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
       RecordReport(known, target, *aEnd.mReport, aNow);
-      const bool room = ShowsSpareCapacity(*aEnd.mReport, known.mCurve);
+      const bool hasCapacity = ShowsSpareCapacity(*aEnd.mReport, known.mCurve);
       known.mSpareCapacityShare +=
-        kSpareCapacityGain * ((room ? 1 : 0) - known.mSpareCapacityShare);
+        kSpareCapacityGain *
+        ((hasCapacity ? 1 : 0) - known.mSpareCapacityShare);
     } else {
       aState.mServices[service].mReportsLoad = false;
     }
   }
-  if (aEnd.mAnswered && !other) {
+  if (aEnd.mAnswered && !otherTarget) {
     // A target may state its limit only in answers to requests, so a probe
     // without a limit says nothing.
     if (aEnd.mLimit.mKind != StatedLimit::Kind::Absent) {
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -80,8 +80,8 @@
   if (!aState.mPolicy) {
     return;
   }
-  const auto held = std::exchange(aState.mUnrouted, {});
-  for (const auto& [id, unrouted] : held) {
+  const auto queued = std::exchange(aState.mUnrouted, {});
+  for (const auto& [id, unrouted] : queued) {
     Admit(aState, aNow, unrouted.mArrivedAt, unrouted.mArrival, aOut);
   }
 }
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -284,8 +284,8 @@
       need = NeedOf(aState, request);
     }
     last = &request;
-    const bool lost = aNow + need.mWork > request.mObjectiveAt;
-    (lost ? late : order).emplace_back(key.mRequest, need);
+    const bool objectiveMissed = aNow + need.mWork > request.mObjectiveAt;
+    (objectiveMissed ? late : order).emplace_back(key.mRequest, need);
   }
   order.insert(order.end(), late.begin(), late.end());
   PassCache cache;
