--- a/bench/dispatch_bench.cpp
+++ b/bench/dispatch_bench.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-/// \brief What clients get from the gateway's choice of targets, by load: many
-/// hosts, targets with few slots whose speed moves every half second.
+/// \brief Measures the outcomes of clients' requests by load: many hosts,
+/// targets with few slots whose speed changes every half second.
 namespace {
 
 using geraniumpond::fakes::DispatchLoad;
@@ -47,7 +47,7 @@
     for (const bool idempotent : { true, false }) {
       DispatchLoad load;
       load.mIdempotent = idempotent;
-      // What the targets that work as usual can do, one request at a time.
+      // Throughput of the targets of usual speed, one request at a time each.
       const double room = load.mTargets * (1 - load.mSlowShare) *
                           geraniumpond::kSecond /
                           static_cast<double>(load.mWork);
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -79,7 +79,7 @@
     Break(Send("/a"));
     const Effects effects = EndProbe(Answer::Healthy);
     CPPUNIT_ASSERT(All<SendFact>(effects).empty());
-    // Nor does its end say anything of it later.
+    // Nor does a later end of the target implicate the request.
     CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
@@ -137,7 +137,7 @@
     Break(second);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
                          All<SendFact>(EndProbe(Answer::Refused)).size());
-    // Its end is seen on another connection a moment later.
+    // The third answer breaks on another connection a moment later.
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendFact>(Break(third)).size());
   }
 
@@ -152,7 +152,7 @@
 
   Effects Ask(const std::string& aPath)
   {
-    // Reports grow old between requests, so that each asks anew.
+    // Reports expire between requests, so that each one sends a probe.
     mNow += 100 * kMillisecond;
     Arrival arrival;
     arrival.mId = ++mLast;
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -8,7 +8,8 @@
 using fakes::DispatchTally;
 using fakes::DispatchWorld;
 
-/// \brief Loads that are played on many hosts at once; what clients get.
+/// \brief Simulates loads on many hosts at once and checks the clients'
+/// outcomes.
 class DispatchLoadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchLoadTest);
@@ -29,9 +30,10 @@
     }
   }
 
-  // At 1.4 times the room every request that is sent late takes a slot that
-  // one in time would have had: 0.25 were in time before late ones left room,
-  // 0.60 while they took any target that was not crowded, 0.80 now.
+  // At 1.4 times the capacity, each request that is sent late takes a slot from
+  // one that could be on time. The share on time was 0.25 when late requests
+  // took any capacity, 0.60 when they took any target that was not crowded, and
+  // is 0.80 with the present rule.
   void OverloadLeavesMostRequestsInTimeOverManyHosts()
   {
     const DispatchTally heavy = Play(LoadOf(1.4));
@@ -59,8 +61,8 @@
   static constexpr std::size_t kHosts = 40;
   static constexpr std::size_t kSubset = 12;
 
-  // A load as a share of what targets at their usual pace can do, one request
-  // at a time.
+  // A load as a share of the throughput of targets at usual speed, one request
+  // at a time each.
   static DispatchLoad LoadOf(double aShare)
   {
     DispatchLoad load;
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -176,7 +176,7 @@
     const auto all = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), all.size());
     CPPUNIT_ASSERT(all[1].mTarget != all[0].mTarget);
-    // Refused twice: the promise that it did not run holds.
+    // After two refusals it is still certain that the request did not run.
     End(all[1], EndKind::Answered, 503, true);
     const auto replies = All<ReplyToClient>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), replies.size());
@@ -236,7 +236,7 @@
       }
       Advance(20 * kMillisecond);
     }
-    // Two tenths of the requests and a tenth of sixty, over four seconds.
+    // 0.2 of the requests plus a tenth of 60, over four seconds.
     CPPUNIT_ASSERT(extra <= 200 * 0.2 + 6);
     CPPUNIT_ASSERT(extra >= 20);
   }
@@ -264,7 +264,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), replies.size());
     CPPUNIT_ASSERT_EQUAL(504, replies[0].mStatus);
     CPPUNIT_ASSERT_EQUAL(504, replies[1].mStatus);
-    // What cannot be repeated runs to its end.
+    // A non-idempotent attempt runs to its end.
     for (const CancelAttempt& cancel : All<CancelAttempt>(mEffects)) {
       CPPUNIT_ASSERT_EQUAL(replies[0].mRequest, cancel.mRequest);
     }
@@ -289,7 +289,7 @@
     CPPUNIT_ASSERT_EQUAL(first.mAttempt, cancels[0].mAttempt);
   }
 
-  // Work is expected to take 105 ms of an objective of 300.
+  // The expected service time is 105 ms, of an objective of 300 ms.
   void TargetThatBecameSlowIsLeftForAnotherInTime()
   {
     AddTargets(5);
@@ -339,8 +339,8 @@
     CPPUNIT_ASSERT_EQUAL(503, All<ReplyToClient>(mEffects).back().mStatus);
   }
 
-  // Clients of a host that starts: those that can still be in time wait for the
-  // first policy, and no longer than a quarter of their time.
+  // On a starting host, requests that can still be on time wait for the first
+  // policy, but no longer than a quarter of their timeout.
   void RequestsBeforeTheFirstPolicyWaitForItALittle()
   {
     const auto policy = std::exchange(mState.mPolicy, nullptr);
@@ -365,7 +365,7 @@
     const auto sent = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), sent.size());
     CPPUNIT_ASSERT_EQUAL(patient, sent[0].mRequest);
-    // Its time counts from its arrival.
+    // The deadline counts from the arrival.
     CPPUNIT_ASSERT_EQUAL(mNow + 800 * kMillisecond, sent[0].mDeadline);
   }
 
@@ -380,8 +380,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
-  // The first request that waited once set the pace to the time since the
-  // clock's start, and whoever waited behind it was refused.
+  // Guards against a dispatch interval that is measured from time zero: the
+  // first waiting request then set a huge interval, and all requests queued
+  // behind it were refused.
   void FirstRequestThatWaitsDoesNotSetThePace()
   {
     AddTargets(3);
@@ -396,7 +397,7 @@
   void UrgentRequestsGoBeforeBulkWhereRoomIsShort()
   {
     AddTargets(1);
-    // All slots and the room that is used behind them are taken.
+    // All slots and the target's queue are occupied.
     for (int i = 0; i < 4; ++i) {
       Arrive("/bulk/x");
     }
@@ -407,9 +408,10 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), sent[0].mRequest);
   }
 
-  // Eight targets of two slots, 130 % of what they can do for 20 s. In order of
-  // deadlines alone every request waits until its objective is lost; the ones
-  // that can still make it go first, and most of what fits is in time.
+  // Eight targets of two slots, at 130 % of their throughput for 20 s. In
+  // deadline order alone every request waits until its objective is missed.
+  // Requests that can still meet it go first, so that most of what fits is on
+  // time.
   void OverloadLeavesMostOfWhatFitsInTime()
   {
     AddTargets(8);
@@ -446,7 +448,7 @@
         Effects effects;
         std::swap(effects, mEffects);
         for (const SendRequest& sent : All<SendRequest>(effects)) {
-          // Over two the others wait their turn behind it.
+          // Requests beyond two wait in the target's queue.
           const int ahead = running[sent.mTarget]++;
           const Micros turns = 1 + std::max(0, ahead - 1) / 2;
           ends.emplace(mNow + turns * 100 * kMillisecond, sent);
@@ -458,7 +460,7 @@
         }
       }
     }
-    // 3,200 fit in twenty seconds.
+    // The targets can answer 3,200 in twenty seconds.
     CPPUNIT_ASSERT(offered > 4000);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(inTime), inTime > 3000);
   }
@@ -490,21 +492,21 @@
     CPPUNIT_ASSERT_EQUAL(503, replies[0].mStatus);
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
     CPPUNIT_ASSERT(All<SendRequest>(mEffects).empty());
-    // Half of the second that the route allows.
+    // Half of the route's timeout of one second.
     const Micros held = mNow - arrivedAt;
     CPPUNIT_ASSERT_MESSAGE(std::to_string(held),
                            held > 300 * kMillisecond &&
                              held < 550 * kMillisecond);
   }
 
-  // Eight targets of which seven cannot be reached: the last one is empty.
+  // Only one of eight targets is available, and it is idle.
   void LateRequestIsServedWhereFewTargetsAreLeft()
   {
     AddTargets(8);
     for (int i = 1; i < 8; ++i) {
       mState.mTargets.at(Name(i)).mUnavailable = true;
     }
-    // Longer than the objective: late from the start.
+    // Longer than the objective, so that the request is late from the start.
     mState.mStatistics["/safe/"].mWork = 400.0 * kMillisecond;
     const SendRequest sent = ArriveAndSend("/safe/x");
     CPPUNIT_ASSERT_EQUAL(Name(0), sent.mTarget);
@@ -517,7 +519,7 @@
     const SendRequest learnt = ArriveAndSend("/bulk/x");
     EndWithBytes(learnt, 90000);
     const SendRequest running = ArriveAndSend("/bulk/x");
-    // A second large one waits, a small one does not.
+    // A second large answer waits, a small one does not.
     mEffects.clear();
     Arrive("/bulk/x");
     AnswerProbes();
@@ -545,7 +547,8 @@
     }
   }
 
-  // What was sent to the earlier incarnation is not known to have run or not.
+  // It is unknown whether the earlier incarnation ran the request that was sent
+  // to it.
   void TargetStartedAgainUnderItsIdIsANewOne()
   {
     AddTargets(1);
@@ -596,7 +599,8 @@
     CPPUNIT_ASSERT_EQUAL(Name(1), All<SendRequest>(mEffects).back().mTarget);
   }
 
-  // They were once asked for an empty path, which is no sound request.
+  // Guards against probes with an empty path, a malformed request, which were
+  // sent to targets known before the policy.
   void TargetsKnownBeforeThePolicyAreNotAsked()
   {
     mState = State();
@@ -606,7 +610,8 @@
     Advance(kSecond);
     CPPUNIT_ASSERT(All<ProbeTarget>(mEffects).empty());
     SetPolicy(mState, mNow, MakePolicy());
-    // Newcomers are met once the set of targets is still.
+    // New targets are probed once the set of targets has been stable for a
+    // while.
     Advance(2 * kSecond + 10 * kMillisecond);
     const auto probes = All<ProbeTarget>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), probes.size());
@@ -630,13 +635,14 @@
       mEffects.clear();
       Advance(10 * kMillisecond);
     }
-    // Ten seconds, ten targets, four a second, a tenth of it, and the burst.
+    // Ten seconds, ten targets, four probes a second each, a tenth of that for
+    // this host, plus the burst.
     CPPUNIT_ASSERT(mProbes <= 4 * 10 * 10 / 10 + 15);
     CPPUNIT_ASSERT(mProbes >= 20);
   }
 
-  // Late requests need room at several targets: one that told its load twice,
-  // the first time too long ago, was counted as two.
+  // Late requests require capacity at several targets. A target that reported
+  // its load twice, the first report being too old, was counted as two.
   void TargetThatTellsItsLoadAgainCountsOnce()
   {
     AddTargets(1);
@@ -720,7 +726,7 @@
     HandleProbeEnd(mState, mNow, end, mEffects);
   }
 
-  // Every target that was asked says that it is empty and works as usual.
+  // Each probed target reports that it is idle and at usual speed.
   void AnswerProbes()
   {
     for (int round = 0; round < 3; ++round) {
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -14,12 +14,12 @@
 using fakes::DispatchWorld;
 using fakes::ProcessorSeconds;
 
-/// Requests a second of a host that many clients come to at once, and of one
-/// that has its usual share.
+/// Requests a second of a host that gets an unusually large share of the
+/// clients, and of one with its usual share.
 constexpr double kMany = 100;
 constexpr double kFew = 20;
 
-// Microseconds of processor time for each request at one host.
+// Microseconds of processor time per request at one host.
 double WorkOfARequest(int aTargets, double aPerSecond)
 {
   DispatchLoad load;
@@ -40,17 +40,18 @@
 
 } // namespace
 
-// What callers saw: after a loss of power of all 476 hosts, those with a disk
-// answered a request a second late or not at all, two of six lost their leader
-// again and again, and sometimes the policy could not be read back.
+// Guards against processor overload after an outage of all 476 hosts: the hosts
+// with a disk answered requests a second late or not at all, two groups of six
+// lost their leader repeatedly, and the policy sometimes could not be read
+// back.
 //
-// Why: such a host takes twenty times its share of the requests, more than its
-// budget of probes lets it place at once. Each choice walked through all 735
-// targets of the service, for each waiting request, at each answer of a target.
+// Such a host gets twenty times its share of the requests, more than its probe
+// budget can place at once. Each choice scanned all 735 targets of the service,
+// for each waiting request, at each answer of a target.
 //
-// Evidence: lines `host_late` of these hosts: 117 events of connections in
-// 434 ms of the loop, rounds of 150 to 250 ms, and a message for the group that
-// waited 1,188 ms to be sent.
+// In the `host_late` lines of these hosts the event loop spent 434 ms on 117
+// connection events, rounds took 150 to 250 ms, and one consensus message was
+// delayed by 1,188 ms.
 class DispatchWorkTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchWorkTest);
@@ -60,7 +61,8 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A tenth of the targets, a tenth of the work where all are looked at.
+  // With a scan of all targets, the cost per request would grow about tenfold
+  // with the targets.
   void WorkOfARequestHardlyGrowsWithTheTargets()
   {
     const double few = WorkOfARequest(64, kMany);
@@ -69,8 +71,8 @@
       std::to_string(many) + " us of " + std::to_string(few), many < 3 * few);
   }
 
-  // A host that has five times the requests may spend some more on each: more
-  // of them have to look twice.
+  // With five times the requests, each may cost somewhat more, because more
+  // requests are checked twice.
   void WorkOfARequestHardlyGrowsWithThoseThatWait()
   {
     const double usual = WorkOfARequest(735, kFew);
@@ -80,9 +82,8 @@
                            busy < 5 * usual);
   }
 
-  // A host of a quarter of a core that many clients come to, 160 a second,
-  // leaves three quarters of its processor to the group, to hosts and to
-  // connections.
+  // A host with a quarter of a core and 160 requests a second keeps three
+  // quarters of its processor time for consensus, peer hosts and connections.
   void WorkOfARequestLeavesTimeForTheGroup()
   {
     const double busy = WorkOfARequest(735, 160);
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// One way between a host and a target.
+/// One-way latency between a host and a target.
 constexpr Micros kTrip = 500;
-/// A target's own time for its health path.
+/// Time that a target takes to answer a probe.
 constexpr Micros kHealthTime = kMillisecond;
 constexpr Micros kStep = kMillisecond;
-/// Clients come back once, after a third of their patience at most.
+/// A client retries once, after at most a third of its remaining time.
 constexpr int kRetryShare = 3;
 constexpr double kWorkSpread = 0.3;
 
@@ -306,7 +306,7 @@
   }
 }
 
-// Drawn anew for each span of time, without a state of its own.
+// Derived from a hash of the time span, so that no state is needed.
 double DispatchWorld::SlownessOf(const FakeTarget& aTarget) const
 {
   const Micros span = (mNow + aTarget.mPhase) / mLoad.mSpeedSpan;
--- a/tests/fakes/dispatch_world.h
+++ b/tests/fakes/dispatch_world.h
@@ -9,35 +9,37 @@
 #include <string>
 #include <vector>
 
-/// \brief Many hosts that send requests to the same targets, in virtual time.
+/// \brief Simulates many hosts that send requests to the same targets, in
+/// virtual time.
 namespace geraniumpond::fakes {
 
-/// \brief The load that is played and what the targets are like.
+/// \brief The simulated load and the properties of the targets.
 struct DispatchLoad
 {
   int mHosts = 40;
   int mTargets = 64;
   int mDataCentres = 4;
   int mSlots = 2;
-  /// Requests that wait at a target; what comes beyond is never answered.
+  /// Queue length of a target; requests beyond it are never answered.
   int mQueue = 4;
-  /// Requests a second, all hosts together.
+  /// Requests a second, over all hosts.
   double mPerSecond = 100;
   Micros mWork = 220 * kMillisecond;
   Micros mObjective = 600 * kMillisecond;
   Micros mTimeout = 2500 * kMillisecond;
   bool mIdempotent = true;
-  /// Work takes longer while more than this share of the slots is taken.
+  /// Work takes longer by mCrowdedFactor while more than this share of the
+  /// slots is taken.
   double mCrowdedShare = 0.8;
   double mCrowdedFactor = 1.7;
-  /// Share of the targets that are slow at any time, how much, and how long
-  /// each keeps its speed.
+  /// Share of the targets that are slow at any time, their slowness, and the
+  /// time for which each target keeps its speed.
   double mSlowShare = 0.42;
   double mSlowFactor = 7;
   Micros mSpeedSpan = 500 * kMillisecond;
 };
 
-/// \brief What clients got.
+/// \brief Outcomes of the clients' requests.
 struct DispatchTally
 {
   int mOffered = 0;
@@ -47,21 +49,21 @@
   int mFailed = 0;
   int mProbes = 0;
   int mSends = 0;
-  /// Pairs of a host and a target that met at least once.
+  /// Pairs of a host and a target that had contact at least once.
   std::size_t mMeetings = 0;
 };
 
-/// \brief Plays a load against the real dispatch code of every host.
+/// \brief Runs a load against the real dispatch code of every host.
 class DispatchWorld
 {
 public:
   DispatchWorld(const DispatchLoad& aLoad, std::uint64_t aSeed);
 
-  /// \brief Plays requests for as long as told, and waits for the last ends.
+  /// \brief Runs requests for `aTime`, and waits for the last ones to end.
   DispatchTally Play(Micros aTime);
 
   /// \brief Adds the targets one by one, `aGap` apart, as they announce
-  /// themselves when a deployment starts.
+  /// themselves during a rollout.
   void AddTargetsOneByOne(Micros aGap);
   void AddTargets();
 
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -6,7 +6,7 @@
 
 namespace geraniumpond::dispatch {
 
-/// \brief What a host learns of targets and clients from what it sees.
+/// \brief Tests the statistics that a host keeps of targets and clients.
 class LearningTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(LearningTest);
@@ -25,7 +25,8 @@
     LoadCurve curve;
     Fill(curve, 3, 1.7);
     CPPUNIT_ASSERT_EQUAL(2, EfficientLimit(curve, 3));
-    // One of two slots would do less than both, slow as they are.
+    // With one of two slots the throughput would be lower than with both, slow
+    // as they are.
     LoadCurve pair;
     Fill(pair, 2, 1.7);
     CPPUNIT_ASSERT_EQUAL(2, EfficientLimit(pair, 2));
@@ -69,7 +70,7 @@
       LearnSpeed(quick, Told(before), 10 * kMillisecond, Told(other));
       LearnSpeed(steady, Told(1), 10 * kMillisecond, Told(1));
     }
-    // Two changes in each tenth of a second.
+    // Two speed changes in each tenth of a second.
     CPPUNIT_ASSERT_DOUBLES_EQUAL(
       50.0 * kMillisecond, MeanSpeedDuration(quick), 10.0 * kMillisecond);
     CPPUNIT_ASSERT(MeanSpeedDuration(steady) > 5.0 * kSecond);
@@ -86,7 +87,7 @@
     }
     CPPUNIT_ASSERT(!IsClientRetry(learnt, 790 * kMillisecond, objective));
     CPPUNIT_ASSERT(IsClientRetry(learnt, 500 * kMillisecond, objective));
-    // Whoever does not say is nobody's return.
+    // A request without a timeout is never a retry.
     CPPUNIT_ASSERT(!IsClientRetry(learnt, 0, objective));
   }
 
@@ -103,8 +104,8 @@
     CPPUNIT_ASSERT(!IsClientRetry(learnt, kSecond, objective));
   }
 
-  // Three slots each, a fifth more than fits: with a last slot that costs more
-  // than it gives, and with one that costs nothing.
+  // Three slots per target and 20 % more load than fits: once with a last slot
+  // that costs more throughput than it adds, once with one that costs nothing.
   void ServicesWithOppositeCurvesAreBothServed()
   {
     for (const double factor : { 1.0, 2.5 }) {
