--- a/bench/dispatch_bench.cpp
+++ b/bench/dispatch_bench.cpp
@@ -8,25 +8,25 @@
 namespace {
 
 using geraniumpond::fakes::DispatchLoad;
-using geraniumpond::fakes::DispatchTally;
+using geraniumpond::fakes::DispatchOutcomes;
 using geraniumpond::fakes::DispatchWorld;
 
 void Play(const char* aName, const DispatchLoad& aLoad)
 {
   DispatchWorld world(aLoad, 7);
   world.AddTargets();
-  const DispatchTally tally = world.Play(20 * geraniumpond::kSecond);
-  const double offered = tally.mOffered;
+  const DispatchOutcomes outcomes = world.Play(20 * geraniumpond::kSecond);
+  const double offered = outcomes.mOffered;
   std::printf("%-26s %8d %8.3f %8.3f %8.3f %8.3f %8.2f %8.2f %10zu\n",
               aName,
-              tally.mOffered,
-              tally.mInTime / offered,
-              tally.mLate / offered,
-              tally.mRefused / offered,
-              tally.mFailed / offered,
-              tally.mSends / offered,
-              tally.mProbes / offered,
-              tally.mMeetings);
+              outcomes.mOffered,
+              outcomes.mInTime / offered,
+              outcomes.mLate / offered,
+              outcomes.mRefused / offered,
+              outcomes.mFailed / offered,
+              outcomes.mSends / offered,
+              outcomes.mProbes / offered,
+              outcomes.mContacts);
 }
 
 } // namespace
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Micros kStart = 1000 * kSecond;
-constexpr Micros kTrip = 3 * kMillisecond;
+constexpr Micros kRoundTrip = 3 * kMillisecond;
 
 std::shared_ptr<const policy::TrafficPolicy> MakePolicy()
 {
@@ -155,7 +155,7 @@
     // Reports expire between requests, so that each one sends a probe.
     mNow += 100 * kMillisecond;
     Arrival arrival;
-    arrival.mId = ++mLast;
+    arrival.mId = ++mLastId;
     arrival.mHostName = "host";
     arrival.mPath = aPath;
     arrival.mPatience = kSecond;
@@ -174,7 +174,7 @@
 
   Effects Break(const SendRequest& aSent)
   {
-    mNow += kTrip;
+    mNow += kRoundTrip;
     AttemptEnd end;
     end.mRequest = aSent.mRequest;
     end.mAttempt = aSent.mAttempt;
@@ -187,7 +187,7 @@
 
   Effects EndProbe(Answer aAnswer)
   {
-    mNow += kTrip;
+    mNow += kRoundTrip;
     ProbeEnd end;
     end.mTarget = "t";
     end.mAnswered = aAnswer == Answer::Healthy || aAnswer == Answer::Other;
@@ -202,7 +202,7 @@
 
   Micros mNow = kStart;
   State mState;
-  std::uint64_t mLast = 0;
+  std::uint64_t mLastId = 0;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(CrashesTest);
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -5,7 +5,7 @@
 namespace geraniumpond::dispatch {
 
 using fakes::DispatchLoad;
-using fakes::DispatchTally;
+using fakes::DispatchOutcomes;
 using fakes::DispatchWorld;
 
 /// \brief Simulates loads on many hosts at once and checks the clients'
@@ -25,8 +25,8 @@
     for (const bool idempotent : { true, false }) {
       DispatchLoad load = LoadOf(0.7);
       load.mIdempotent = idempotent;
-      const DispatchTally tally = Play(load);
-      CPPUNIT_ASSERT(tally.mInTime > 0.98 * tally.mOffered);
+      const DispatchOutcomes outcomes = Play(load);
+      CPPUNIT_ASSERT(outcomes.mInTime > 0.98 * outcomes.mOffered);
     }
   }
 
@@ -36,25 +36,25 @@
   // is 0.80 with the present rule.
   void OverloadLeavesMostRequestsInTimeOverManyHosts()
   {
-    const DispatchTally heavy = Play(LoadOf(1.4));
+    const DispatchOutcomes heavy = Play(LoadOf(1.4));
     CPPUNIT_ASSERT(heavy.mInTime > 0.72 * heavy.mOffered);
     CPPUNIT_ASSERT(heavy.mInTime + heavy.mLate > 0.9 * heavy.mOffered);
-    const DispatchTally full = Play(LoadOf(1.2));
+    const DispatchOutcomes full = Play(LoadOf(1.2));
     CPPUNIT_ASSERT(full.mInTime > 0.9 * full.mOffered);
   }
 
   void HostsMeetTheirSubsetAloneUnderLoad()
   {
-    const DispatchTally tally = Play(LoadOf(1));
-    CPPUNIT_ASSERT(tally.mMeetings <= kHosts * kSubset);
+    const DispatchOutcomes outcomes = Play(LoadOf(1));
+    CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
   void HostsMeetFewTargetsWhileTheseAnnounceThemselves()
   {
     DispatchWorld world(LoadOf(0.2), 3);
     world.AddTargetsOneByOne(20 * kMillisecond);
-    const DispatchTally tally = world.Play(5 * kSecond);
-    CPPUNIT_ASSERT(tally.mMeetings <= kHosts * kSubset);
+    const DispatchOutcomes outcomes = world.Play(5 * kSecond);
+    CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
 private:
@@ -73,7 +73,7 @@
     return load;
   }
 
-  static DispatchTally Play(const DispatchLoad& aLoad)
+  static DispatchOutcomes Play(const DispatchLoad& aLoad)
   {
     DispatchWorld world(aLoad, 7);
     world.AddTargets();
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -347,9 +347,9 @@
     AddTargets(2);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", 400 * kMillisecond);
-    const std::uint64_t brief = mLast;
+    const std::uint64_t brief = mLastId;
     ArriveWithPatience("/unsafe/x", kSecond);
-    const std::uint64_t patient = mLast;
+    const std::uint64_t patient = mLastId;
     Advance(90 * kMillisecond);
     CPPUNIT_ASSERT(All<ReplyToClient>(mEffects).empty());
     Advance(20 * kMillisecond);
@@ -376,7 +376,7 @@
     CPPUNIT_ASSERT_EQUAL(503, All<ReplyToClient>(mEffects).at(0).mStatus);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", kSecond);
-    HandleClientDisconnect(mState, mNow, mLast, mEffects);
+    HandleClientDisconnect(mState, mNow, mLastId, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
@@ -429,7 +429,7 @@
       for (; next <= mNow; ++offered) {
         next += static_cast<Micros>(gaps(random) * kSecond);
         Arrive("/safe/x");
-        arrived[mLast] = mNow;
+        arrived[mLastId] = mNow;
       }
       while (!ends.empty() && ends.begin()->first <= mNow) {
         const SendRequest sent = ends.begin()->second;
@@ -701,8 +701,8 @@
   {
     Arrival arrival;
     arrival.mPatience = aPatience;
-    arrival.mId = ++mLast;
-    arrival.mClientRequestId = "r" + std::to_string(mLast);
+    arrival.mId = ++mLastId;
+    arrival.mClientRequestId = "r" + std::to_string(mLastId);
     arrival.mHostName = "host";
     arrival.mPath = aPath;
     dispatch::HandleArrival(mState, mNow, arrival, mEffects);
@@ -744,7 +744,7 @@
     AnswerProbes();
     const auto sent = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT(!sent.empty());
-    CPPUNIT_ASSERT_EQUAL(mLast, sent.back().mRequest);
+    CPPUNIT_ASSERT_EQUAL(mLastId, sent.back().mRequest);
     return sent.back();
   }
 
@@ -788,7 +788,7 @@
   Micros mNow = kStart;
   State mState;
   Effects mEffects;
-  std::uint64_t mLast = 0;
+  std::uint64_t mLastId = 0;
   std::size_t mProbes = 0;
   std::map<std::string, wire::TargetRecord> mTargets;
 };
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using fakes::DispatchLoad;
-using fakes::DispatchTally;
+using fakes::DispatchOutcomes;
 using fakes::DispatchWorld;
 using fakes::ProcessorSeconds;
 
@@ -34,8 +34,8 @@
   DispatchWorld world(load, 7);
   world.AddTargets();
   const double start = ProcessorSeconds();
-  const DispatchTally tally = world.Play(5 * kSecond);
-  return 1e6 * (ProcessorSeconds() - start) / tally.mOffered;
+  const DispatchOutcomes outcomes = world.Play(5 * kSecond);
+  return 1e6 * (ProcessorSeconds() - start) / outcomes.mOffered;
 }
 
 } // namespace
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 /// One-way latency between a host and a target.
-constexpr Micros kTrip = 500;
+constexpr Micros kOneWayLatency = 500;
 /// Time that a target takes to answer a probe.
 constexpr Micros kHealthTime = kMillisecond;
-constexpr Micros kStep = kMillisecond;
+constexpr Micros kTimeStep = kMillisecond;
 /// A client retries once, after at most a third of its remaining time.
 constexpr int kRetryShare = 3;
 constexpr double kWorkSpread = 0.3;
@@ -77,7 +77,7 @@
     FakeTarget target;
     target.mDataCentre = record.data_centre();
     target.mPhase = static_cast<Micros>(
-      mRandom() % static_cast<std::uint64_t>(mLoad.mSpeedSpan));
+      mRandom() % static_cast<std::uint64_t>(mLoad.mSpeedDuration));
     mTargets[record.id()] = target;
   }
   for (std::size_t host = 0; host < mHosts.size(); ++host) {
@@ -100,24 +100,24 @@
   }
 }
 
-DispatchTally DispatchWorld::Play(Micros aTime)
+DispatchOutcomes DispatchWorld::Play(Micros aTime)
 {
   std::exponential_distribution<double> gaps(mLoad.mPerSecond);
   const Micros end = mNow + aTime;
   Micros next = mNow;
   while (next < end) {
-    Later(next - mNow, [this] { StartClient(); });
+    Schedule(next - mNow, [this] { StartClient(); });
     next += static_cast<Micros>(gaps(mRandom) * kSecond);
   }
   Run(end + 2 * mLoad.mTimeout);
-  mTally.mMeetings = mMet.size();
-  return mTally;
+  mOutcomes.mContacts = mContactCounts.size();
+  return mOutcomes;
 }
 
 void DispatchWorld::Run(Micros aUntil)
 {
   while (mNow < aUntil) {
-    mNow += kStep;
+    mNow += kTimeStep;
     while (!mQueue.empty() && mQueue.begin()->first <= mNow) {
       const std::function<void()> what = std::move(mQueue.begin()->second);
       mQueue.erase(mQueue.begin());
@@ -133,9 +133,9 @@
   }
 }
 
-void DispatchWorld::Later(Micros aDelay, std::function<void()> aWhat)
+void DispatchWorld::Schedule(Micros aDelay, std::function<void()> aTask)
 {
-  mQueue.emplace(mNow + aDelay, std::move(aWhat));
+  mQueue.emplace(mNow + aDelay, std::move(aTask));
 }
 
 void DispatchWorld::Perform(std::size_t aHost,
@@ -143,10 +143,10 @@
 {
   for (const dispatch::Effect& effect : aEffects) {
     if (const auto* probe = std::get_if<dispatch::ProbeTarget>(&effect)) {
-      ++mTally.mProbes;
-      ++mMet[{ aHost, probe->mTarget }];
+      ++mOutcomes.mProbes;
+      ++mContactCounts[{ aHost, probe->mTarget }];
       const std::string target = probe->mTarget;
-      Later(2 * kTrip + kHealthTime, [this, aHost, target] {
+      Schedule(2 * kOneWayLatency + kHealthTime, [this, aHost, target] {
         dispatch::ProbeEnd end;
         end.mTarget = target;
         end.mAnswered = true;
@@ -158,11 +158,11 @@
         Perform(aHost, effects);
       });
     } else if (const auto* send = std::get_if<dispatch::SendRequest>(&effect)) {
-      ++mTally.mSends;
-      ++mMet[{ aHost, send->mTarget }];
-      const std::uint64_t id = ++mLast;
+      ++mOutcomes.mSends;
+      ++mContactCounts[{ aHost, send->mTarget }];
+      const std::uint64_t id = ++mLastId;
       mJobs[id] = { aHost, *send, mClients[mClientOf[send->mRequest]].mWork };
-      Later(kTrip, [this, id] { ArriveAtTarget(id); });
+      Schedule(kOneWayLatency, [this, id] { ArriveAtTarget(id); });
     } else if (const auto* cancel =
                  std::get_if<dispatch::CancelAttempt>(&effect)) {
       CancelJob(cancel->mAttempt, aHost);
@@ -180,11 +180,11 @@
 {
   std::lognormal_distribution<double> spread(-kWorkSpread * kWorkSpread / 2,
                                              kWorkSpread);
-  const std::uint64_t client = ++mLast;
+  const std::uint64_t client = ++mLastId;
   mClients[client] = { mNow,
                        static_cast<Micros>(static_cast<double>(mLoad.mWork) *
                                            spread(mRandom)) };
-  ++mTally.mOffered;
+  ++mOutcomes.mOffered;
   SendClient(client);
 }
 
@@ -192,7 +192,7 @@
 {
   const std::size_t host = mRandom() % mHosts.size();
   dispatch::Arrival arrival;
-  arrival.mId = ++mLast;
+  arrival.mId = ++mLastId;
   arrival.mClientRequestId = std::to_string(arrival.mId);
   arrival.mHostName = "host";
   arrival.mPath = "/x";
@@ -210,18 +210,18 @@
 {
   const std::uint64_t id = mClientOf.at(aRequest);
   Client& client = mClients.at(id);
-  if (aStatus == 503 && !client.mReturned) {
-    client.mReturned = true;
+  if (aStatus == 503 && !client.mRetried) {
+    client.mRetried = true;
     const Micros left = client.mStartedAt + 2 * mLoad.mTimeout - mNow;
-    Later(std::min(aRetryAfter, left / kRetryShare),
-          [this, id] { SendClient(id); });
+    Schedule(std::min(aRetryAfter, left / kRetryShare),
+             [this, id] { SendClient(id); });
     return;
   }
   if (aStatus == 200) {
     const bool inTime = mNow - client.mStartedAt <= mLoad.mObjective;
-    ++(inTime ? mTally.mInTime : mTally.mLate);
+    ++(inTime ? mOutcomes.mInTime : mOutcomes.mLate);
   } else {
-    ++(aStatus == 503 ? mTally.mRefused : mTally.mFailed);
+    ++(aStatus == 503 ? mOutcomes.mRefused : mOutcomes.mFailed);
   }
 }
 
@@ -249,7 +249,7 @@
   if (target.mRunning > mLoad.mCrowdedShare * mLoad.mSlots) {
     time *= mLoad.mCrowdedFactor;
   }
-  Later(static_cast<Micros>(time), [this, aJob] { EndJob(aJob); });
+  Schedule(static_cast<Micros>(time), [this, aJob] { EndJob(aJob); });
 }
 
 void DispatchWorld::EndJob(std::uint64_t aJob)
@@ -263,7 +263,7 @@
   --mTargets.at(job.mSend.mTarget).mRunning;
   StartNext(job.mSend.mTarget);
   const dispatch::Report report = ReportOf(mTargets.at(job.mSend.mTarget));
-  Later(kTrip, [this, job, report] {
+  Schedule(kOneWayLatency, [this, job, report] {
     dispatch::AttemptEnd end;
     end.mRequest = job.mSend.mRequest;
     end.mAttempt = job.mSend.mAttempt;
@@ -309,7 +309,7 @@
 // Derived from a hash of the time span, so that no state is needed.
 double DispatchWorld::SlownessOf(const FakeTarget& aTarget) const
 {
-  const Micros span = (mNow + aTarget.mPhase) / mLoad.mSpeedSpan;
+  const Micros span = (mNow + aTarget.mPhase) / mLoad.mSpeedDuration;
   const std::uint64_t word =
     Hash64(std::to_string(aTarget.mPhase) + "/" + std::to_string(span));
   const double point = static_cast<double>(word >> 11) / 9007199254740992.0;
--- a/tests/fakes/dispatch_world.h
+++ b/tests/fakes/dispatch_world.h
@@ -36,11 +36,11 @@
   /// time for which each target keeps its speed.
   double mSlowShare = 0.42;
   double mSlowFactor = 7;
-  Micros mSpeedSpan = 500 * kMillisecond;
+  Micros mSpeedDuration = 500 * kMillisecond;
 };
 
 /// \brief Outcomes of the clients' requests.
-struct DispatchTally
+struct DispatchOutcomes
 {
   int mOffered = 0;
   int mInTime = 0;
@@ -50,7 +50,7 @@
   int mProbes = 0;
   int mSends = 0;
   /// Pairs of a host and a target that had contact at least once.
-  std::size_t mMeetings = 0;
+  std::size_t mContacts = 0;
 };
 
 /// \brief Runs a load against the real dispatch code of every host.
@@ -60,14 +60,17 @@
   DispatchWorld(const DispatchLoad& aLoad, std::uint64_t aSeed);
 
   /// \brief Runs requests for `aTime`, and waits for the last ones to end.
-  DispatchTally Play(Micros aTime);
+  DispatchOutcomes Play(Micros aTime);
 
   /// \brief Adds the targets one by one, `aGap` apart, as they announce
   /// themselves during a rollout.
   void AddTargetsOneByOne(Micros aGap);
   void AddTargets();
 
-  [[nodiscard]] const DispatchTally& Tally() const noexcept { return mTally; }
+  [[nodiscard]] const DispatchOutcomes& Outcomes() const noexcept
+  {
+    return mOutcomes;
+  }
 
 private:
   struct Job
@@ -90,12 +93,12 @@
   {
     Micros mStartedAt = 0;
     Micros mWork = 0;
-    bool mReturned = false;
+    bool mRetried = false;
   };
 
   void Announce(int aCount);
   void Run(Micros aUntil);
-  void Later(Micros aDelay, std::function<void()> aWhat);
+  void Schedule(Micros aDelay, std::function<void()> aTask);
   void Perform(std::size_t aHost, const dispatch::Effects& aEffects);
   void StartClient();
   void SendClient(std::uint64_t aClient);
@@ -111,7 +114,7 @@
   DispatchLoad mLoad;
   std::mt19937_64 mRandom;
   Micros mNow = 1000 * kSecond;
-  DispatchTally mTally;
+  DispatchOutcomes mOutcomes;
   std::vector<dispatch::State> mHosts;
   std::map<std::string, wire::TargetRecord> mRecords;
   std::map<std::string, FakeTarget> mTargets;
@@ -119,8 +122,8 @@
   std::map<std::uint64_t, Job> mJobs;
   std::map<std::uint64_t, Client> mClients;
   std::map<std::uint64_t, std::uint64_t> mClientOf;
-  std::map<std::pair<std::size_t, std::string>, int> mMet;
-  std::uint64_t mLast = 0;
+  std::map<std::pair<std::size_t, std::string>, int> mContactCounts;
+  std::uint64_t mLastId = 0;
 };
 
 } // namespace geraniumpond::fakes
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -119,8 +119,9 @@
         1.2 * atOnce * usual * kSecond / static_cast<double>(load.mWork);
       fakes::DispatchWorld world(load, 5);
       world.AddTargets();
-      const fakes::DispatchTally tally = world.Play(20 * kSecond);
-      const double share = static_cast<double>(tally.mInTime) / tally.mOffered;
+      const fakes::DispatchOutcomes outcomes = world.Play(20 * kSecond);
+      const double share =
+        static_cast<double>(outcomes.mInTime) / outcomes.mOffered;
       CPPUNIT_ASSERT_MESSAGE(
         std::to_string(factor) + " " + std::to_string(share), share > 0.6);
     }
