--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -49,12 +49,12 @@
 {
   CPPUNIT_TEST_SUITE(CrashesTest);
   CPPUNIT_TEST(BrokenAnswerOfATargetThatAnswersIsNoCrash);
-  CPPUNIT_TEST(BrokenAnswerOfATargetThatRefusesIsACrash);
+  CPPUNIT_TEST(BrokenAnswerOfATargetThatRefusesConnectionsIsACrash);
   CPPUNIT_TEST(BrokenAnswerWhoseAddressIsTakenIsACrash);
-  CPPUNIT_TEST(BrokenAnswerOfASilentTargetIsNoCrash);
-  CPPUNIT_TEST(BrokenAnswerOfATargetThatLeftIsNoCrash);
+  CPPUNIT_TEST(BrokenAnswerOfAnUnresponsiveTargetIsNoCrash);
+  CPPUNIT_TEST(BrokenAnswerOfARemovedTargetIsNoCrash);
   CPPUNIT_TEST(ProbeThatBrokeWithTheAnswerIsSentAgain);
-  CPPUNIT_TEST(AllRequestsOfATargetThatEndedAreTold);
+  CPPUNIT_TEST(AllRequestsOfATargetThatEndedAreReported);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
-  void BrokenAnswerOfATargetThatRefusesIsACrash()
+  void BrokenAnswerOfATargetThatRefusesConnectionsIsACrash()
   {
     const Effects broken = Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<ProbeTarget>(broken).size());
@@ -99,7 +99,7 @@
                          All<SendFact>(EndProbe(Answer::Other)).size());
   }
 
-  void BrokenAnswerOfASilentTargetIsNoCrash()
+  void BrokenAnswerOfAnUnresponsiveTargetIsNoCrash()
   {
     Break(Send("/a"));
     CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::None)).empty());
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
-  void BrokenAnswerOfATargetThatLeftIsNoCrash()
+  void BrokenAnswerOfARemovedTargetIsNoCrash()
   {
     const SendRequest sent = Send("/a");
     Effects effects;
@@ -119,7 +119,7 @@
   void ProbeThatBrokeWithTheAnswerIsSentAgain()
   {
     const SendRequest sent = Send("/a");
-    (void)Ask("/b");
+    (void)Submit("/b");
     CPPUNIT_ASSERT(mState.mTargets.at("t").mProbing);
     CPPUNIT_ASSERT(All<ProbeTarget>(Break(sent)).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
@@ -128,7 +128,7 @@
                          All<SendFact>(EndProbe(Answer::Refused)).size());
   }
 
-  void AllRequestsOfATargetThatEndedAreTold()
+  void AllRequestsOfATargetThatEndedAreReported()
   {
     const SendRequest first = Send("/a");
     const SendRequest second = Send("/b");
@@ -150,7 +150,7 @@
     Healthy
   };
 
-  Effects Ask(const std::string& aPath)
+  Effects Submit(const std::string& aPath)
   {
     // Reports expire between requests, so that each one sends a probe.
     mNow += 100 * kMillisecond;
@@ -166,7 +166,7 @@
 
   SendRequest Send(const std::string& aPath)
   {
-    (void)Ask(aPath);
+    (void)Submit(aPath);
     const auto sends = All<SendRequest>(EndProbe(Answer::Healthy));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), sends.size());
     return sends[0];
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -13,14 +13,14 @@
 class DispatchLoadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchLoadTest);
-  CPPUNIT_TEST(ModerateLoadIsNearlyAllAnsweredInTime);
-  CPPUNIT_TEST(OverloadLeavesMostRequestsInTimeOverManyHosts);
-  CPPUNIT_TEST(HostsMeetTheirSubsetAloneUnderLoad);
-  CPPUNIT_TEST(HostsMeetFewTargetsWhileTheseAnnounceThemselves);
+  CPPUNIT_TEST(ModerateLoadIsNearlyAllAnsweredOnTime);
+  CPPUNIT_TEST(OverloadLeavesMostRequestsOnTimeOverManyHosts);
+  CPPUNIT_TEST(HostsContactOnlyTheirSubsetUnderLoad);
+  CPPUNIT_TEST(HostsContactFewTargetsWhileTheseAnnounceThemselves);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ModerateLoadIsNearlyAllAnsweredInTime()
+  void ModerateLoadIsNearlyAllAnsweredOnTime()
   {
     for (const bool idempotent : { true, false }) {
       DispatchLoad load = LoadOf(0.7);
@@ -34,7 +34,7 @@
   // one that could be on time. The share on time was 0.25 when late requests
   // took any capacity, 0.60 when they took any target that was not crowded, and
   // is 0.80 with the present rule.
-  void OverloadLeavesMostRequestsInTimeOverManyHosts()
+  void OverloadLeavesMostRequestsOnTimeOverManyHosts()
   {
     const DispatchOutcomes heavy = Play(LoadOf(1.4));
     CPPUNIT_ASSERT(heavy.mInTime > 0.72 * heavy.mOffered);
@@ -43,13 +43,13 @@
     CPPUNIT_ASSERT(full.mInTime > 0.9 * full.mOffered);
   }
 
-  void HostsMeetTheirSubsetAloneUnderLoad()
+  void HostsContactOnlyTheirSubsetUnderLoad()
   {
     const DispatchOutcomes outcomes = Play(LoadOf(1));
     CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
-  void HostsMeetFewTargetsWhileTheseAnnounceThemselves()
+  void HostsContactFewTargetsWhileTheseAnnounceThemselves()
   {
     DispatchWorld world(LoadOf(0.2), 3);
     world.AddTargetsOneByOne(20 * kMillisecond);
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -70,39 +70,39 @@
 class DispatchTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchTest);
-  CPPUNIT_TEST(EmptiestFastTargetIsChosenAfterAsking);
-  CPPUNIT_TEST(SlowTargetIsLeftOutWhileAFasterOneIsFree);
-  CPPUNIT_TEST(SilentTargetIsNotWaitedForLongerThanItsPatience);
-  CPPUNIT_TEST(UnsafeRequestWithALostEndIsNeverSentAgain);
-  CPPUNIT_TEST(UnsafeRequestThatATargetRefusedGoesElsewhere);
-  CPPUNIT_TEST(UnsafeRequestThatNeverLeftGoesElsewhere);
+  CPPUNIT_TEST(LeastLoadedFastTargetIsChosenAfterProbes);
+  CPPUNIT_TEST(SlowTargetIsAvoidedWhileAFasterOneIsFree);
+  CPPUNIT_TEST(UnansweredProbeDelaysARequestForALimitedTime);
+  CPPUNIT_TEST(UnsafeRequestWithABrokenAnswerIsNeverSentAgain);
+  CPPUNIT_TEST(UnsafeRequestRefusedByATargetIsRetriedElsewhere);
+  CPPUNIT_TEST(UnsafeRequestThatWasNotSentIsRetriedElsewhere);
   CPPUNIT_TEST(SafeRequestIsSentToNoMoreTargetsThanItsRouteAllows);
-  CPPUNIT_TEST(RefusalAfterAPossibleRunIsNoPromise);
+  CPPUNIT_TEST(RefusalAfterAPossibleRunIsABadGateway);
   CPPUNIT_TEST(ExtraAttemptsStayWithinTheHostsShare);
-  CPPUNIT_TEST(ClientThatLeftEndsIdempotentWorkOnly);
-  CPPUNIT_TEST(DeadlinePassedIsAnsweredAtOnce);
-  CPPUNIT_TEST(SlowAnswerIsRacedByASecondTargetOnlyWhereIdempotent);
-  CPPUNIT_TEST(TargetThatBecameSlowIsLeftForAnotherInTime);
-  CPPUNIT_TEST(LongWorkAtATargetAsFastAsBeforeIsNotRepeated);
-  CPPUNIT_TEST(EstimateThatLeavesNoTimeIsLearntAnew);
-  CPPUNIT_TEST(UnknownRouteAndMissingPolicyAreToldApart);
-  CPPUNIT_TEST(RequestsBeforeTheFirstPolicyWaitForItALittle);
+  CPPUNIT_TEST(DisconnectedClientCancelsIdempotentWorkOnly);
+  CPPUNIT_TEST(PassedDeadlineIsAnsweredAtOnce);
+  CPPUNIT_TEST(SlowAnswerIsHedgedOnlyWhereIdempotent);
+  CPPUNIT_TEST(RequestAtATargetThatSlowedDownIsHedged);
+  CPPUNIT_TEST(LongRequestAtATargetOfSteadySpeedIsNotHedged);
+  CPPUNIT_TEST(EstimateThatExceedsAllDeadlinesIsReset);
+  CPPUNIT_TEST(UnknownRouteAndMissingPolicyAreDistinguished);
+  CPPUNIT_TEST(RequestsBeforeTheFirstPolicyWaitForItBriefly);
   CPPUNIT_TEST(RequestsWithoutAPolicyAreRefusedAtOnceWhenNoneIsExpected);
-  CPPUNIT_TEST(FirstRequestThatWaitsDoesNotSetThePace);
-  CPPUNIT_TEST(UrgentRequestsGoBeforeBulkWhereRoomIsShort);
-  CPPUNIT_TEST(OverloadLeavesMostOfWhatFitsInTime);
-  CPPUNIT_TEST(HopelessRequestIsRefusedAtOnceWithATimeToReturn);
-  CPPUNIT_TEST(RequestThatFindsNoRoomIsRefusedWithTimeToComeBack);
-  CPPUNIT_TEST(LateRequestIsServedWhereFewTargetsAreLeft);
+  CPPUNIT_TEST(FirstWaitingRequestDoesNotSetTheDispatchInterval);
+  CPPUNIT_TEST(UrgentRequestsGoBeforeBulkWhenCapacityIsShort);
+  CPPUNIT_TEST(OverloadLeavesMostOfWhatFitsOnTime);
+  CPPUNIT_TEST(RequestWithoutTargetsIsRefusedAtOnceWithARetryDelay);
+  CPPUNIT_TEST(RequestThatFindsNoCapacityIsRefusedWithTimeToRetry);
+  CPPUNIT_TEST(LateRequestIsServedWhereFewTargetsAreAvailable);
   CPPUNIT_TEST(LargeAnswersTakeTurnsOnASlowLink);
-  CPPUNIT_TEST(DrainingTargetGetsNothingMore);
-  CPPUNIT_TEST(TargetStartedAgainUnderItsIdIsANewOne);
-  CPPUNIT_TEST(TargetsOfServicesThatNoPolicyNamesAreLeftAlone);
-  CPPUNIT_TEST(TargetWhoseAddressIsTakenIsLeftAlone);
-  CPPUNIT_TEST(TargetsKnownBeforeThePolicyAreNotAsked);
+  CPPUNIT_TEST(DrainingTargetGetsNoMoreRequests);
+  CPPUNIT_TEST(TargetRestartedUnderItsIdIsANewTarget);
+  CPPUNIT_TEST(TargetsOfServicesWithoutAPolicyAreNotProbed);
+  CPPUNIT_TEST(TargetWhoseAddressIsTakenGetsNoRequests);
+  CPPUNIT_TEST(TargetsKnownBeforeThePolicyAreNotProbed);
   CPPUNIT_TEST(ProbesStayWithinTheHostsShare);
-  CPPUNIT_TEST(TargetThatTellsItsLoadAgainCountsOnce);
-  CPPUNIT_TEST(SubsetsOfManyHostsHoldEveryTargetAboutEquallyOften);
+  CPPUNIT_TEST(TargetThatReportsItsLoadAgainCountsOnce);
+  CPPUNIT_TEST(SubsetsOfManyHostsIncludeEveryTargetAboutEquallyOften);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -117,7 +117,7 @@
     mEffects.clear();
   }
 
-  void EmptiestFastTargetIsChosenAfterAsking()
+  void LeastLoadedFastTargetIsChosenAfterProbes()
   {
     AddTargets(5);
     Arrive("/safe/x");
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT(!sent[0].mProvenConnection);
   }
 
-  void SlowTargetIsLeftOutWhileAFasterOneIsFree()
+  void SlowTargetIsAvoidedWhileAFasterOneIsFree()
   {
     AddTargets(3);
     Arrive("/unsafe/x");
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT(sent[0].mProvenConnection);
   }
 
-  void SilentTargetIsNotWaitedForLongerThanItsPatience()
+  void UnansweredProbeDelaysARequestForALimitedTime()
   {
     AddTargets(2);
     Arrive("/safe/x");
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void UnsafeRequestWithALostEndIsNeverSentAgain()
+  void UnsafeRequestWithABrokenAnswerIsNeverSentAgain()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -167,7 +167,7 @@
     CPPUNIT_ASSERT_EQUAL(Micros(0), replies[0].mRetryAfter);
   }
 
-  void UnsafeRequestThatATargetRefusedGoesElsewhere()
+  void UnsafeRequestRefusedByATargetIsRetriedElsewhere()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -184,7 +184,7 @@
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
   }
 
-  void UnsafeRequestThatNeverLeftGoesElsewhere()
+  void UnsafeRequestThatWasNotSentIsRetriedElsewhere()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<SendRequest>(mEffects).size());
   }
 
-  void RefusalAfterAPossibleRunIsNoPromise()
+  void RefusalAfterAPossibleRunIsABadGateway()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -241,7 +241,7 @@
     CPPUNIT_ASSERT(extra >= 20);
   }
 
-  void ClientThatLeftEndsIdempotentWorkOnly()
+  void DisconnectedClientCancelsIdempotentWorkOnly()
   {
     AddTargets(5);
     const SendRequest safe = ArriveAndSend("/safe/x");
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
-  void DeadlinePassedIsAnsweredAtOnce()
+  void PassedDeadlineIsAnsweredAtOnce()
   {
     AddTargets(5);
     (void)ArriveAndSend("/safe/x");
@@ -270,7 +270,7 @@
     }
   }
 
-  void SlowAnswerIsRacedByASecondTargetOnlyWhereIdempotent()
+  void SlowAnswerIsHedgedOnlyWhereIdempotent()
   {
     AddTargets(5);
     (void)ArriveAndSend("/unsafe/x");
@@ -290,7 +290,7 @@
   }
 
   // The expected service time is 105 ms, of an objective of 300 ms.
-  void TargetThatBecameSlowIsLeftForAnotherInTime()
+  void RequestAtATargetThatSlowedDownIsHedged()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -302,7 +302,7 @@
     CPPUNIT_ASSERT(all[1].mTarget != first.mTarget);
   }
 
-  void LongWorkAtATargetAsFastAsBeforeIsNotRepeated()
+  void LongRequestAtATargetOfSteadySpeedIsNotHedged()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -314,7 +314,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void EstimateThatLeavesNoTimeIsLearntAnew()
+  void EstimateThatExceedsAllDeadlinesIsReset()
   {
     AddTargets(3);
     RouteStatistics& learnt = mState.mStatistics["/safe/"];
@@ -330,7 +330,7 @@
     CPPUNIT_ASSERT(!All<ProbeTarget>(mEffects).empty());
   }
 
-  void UnknownRouteAndMissingPolicyAreToldApart()
+  void UnknownRouteAndMissingPolicyAreDistinguished()
   {
     Arrive("/nowhere/x");
     CPPUNIT_ASSERT_EQUAL(404, All<ReplyToClient>(mEffects).back().mStatus);
@@ -341,7 +341,7 @@
 
   // On a starting host, requests that can still be on time wait for the first
   // policy, but no longer than a quarter of their timeout.
-  void RequestsBeforeTheFirstPolicyWaitForItALittle()
+  void RequestsBeforeTheFirstPolicyWaitForItBriefly()
   {
     const auto policy = std::exchange(mState.mPolicy, nullptr);
     AddTargets(2);
@@ -383,7 +383,7 @@
   // Guards against a dispatch interval that is measured from time zero: the
   // first waiting request then set a huge interval, and all requests queued
   // behind it were refused.
-  void FirstRequestThatWaitsDoesNotSetThePace()
+  void FirstWaitingRequestDoesNotSetTheDispatchInterval()
   {
     AddTargets(3);
     Arrive("/safe/a");
@@ -394,7 +394,7 @@
     CPPUNIT_ASSERT(All<ReplyToClient>(mEffects).empty());
   }
 
-  void UrgentRequestsGoBeforeBulkWhereRoomIsShort()
+  void UrgentRequestsGoBeforeBulkWhenCapacityIsShort()
   {
     AddTargets(1);
     // All slots and the target's queue are occupied.
@@ -412,7 +412,7 @@
   // deadline order alone every request waits until its objective is missed.
   // Requests that can still meet it go first, so that most of what fits is on
   // time.
-  void OverloadLeavesMostOfWhatFitsInTime()
+  void OverloadLeavesMostOfWhatFitsOnTime()
   {
     AddTargets(8);
     std::mt19937_64 random(11);
@@ -465,7 +465,7 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(inTime), inTime > 3000);
   }
 
-  void HopelessRequestIsRefusedAtOnceWithATimeToReturn()
+  void RequestWithoutTargetsIsRefusedAtOnceWithARetryDelay()
   {
     Arrive("/safe/x");
     const auto replies = All<ReplyToClient>(mEffects);
@@ -474,7 +474,7 @@
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
   }
 
-  void RequestThatFindsNoRoomIsRefusedWithTimeToComeBack()
+  void RequestThatFindsNoCapacityIsRefusedWithTimeToRetry()
   {
     AddTargets(3);
     const Micros arrivedAt = mNow;
@@ -500,7 +500,7 @@
   }
 
   // Only one of eight targets is available, and it is idle.
-  void LateRequestIsServedWhereFewTargetsAreLeft()
+  void LateRequestIsServedWhereFewTargetsAreAvailable()
   {
     AddTargets(8);
     for (int i = 1; i < 8; ++i) {
@@ -535,7 +535,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void DrainingTargetGetsNothingMore()
+  void DrainingTargetGetsNoMoreRequests()
   {
     AddTargets(2);
     mTargets[Name(0)] = MakeTarget(Name(0), true);
@@ -549,7 +549,7 @@
 
   // It is unknown whether the earlier incarnation ran the request that was sent
   // to it.
-  void TargetStartedAgainUnderItsIdIsANewOne()
+  void TargetRestartedUnderItsIdIsANewTarget()
   {
     AddTargets(1);
     const SendRequest before = ArriveAndSend("/unsafe/x");
@@ -575,7 +575,7 @@
     CPPUNIT_ASSERT_EQUAL(Name(0), after.mTargetName);
   }
 
-  void TargetsOfServicesThatNoPolicyNamesAreLeftAlone()
+  void TargetsOfServicesWithoutAPolicyAreNotProbed()
   {
     mTargets[Name(0)] = MakeTarget(Name(0));
     mTargets[Name(0)].set_service("unnamed");
@@ -584,7 +584,7 @@
     CPPUNIT_ASSERT(All<ProbeTarget>(mEffects).empty());
   }
 
-  void TargetWhoseAddressIsTakenIsLeftAlone()
+  void TargetWhoseAddressIsTakenGetsNoRequests()
   {
     AddTargets(2);
     Arrive("/safe/x");
@@ -601,7 +601,7 @@
 
   // Guards against probes with an empty path, a malformed request, which were
   // sent to targets known before the policy.
-  void TargetsKnownBeforeThePolicyAreNotAsked()
+  void TargetsKnownBeforeThePolicyAreNotProbed()
   {
     mState = State();
     mState.mBounds = { 0.2, 60, 10 * kSecond, 100 };
@@ -643,7 +643,7 @@
 
   // Late requests require capacity at several targets. A target that reported
   // its load twice, the first report being too old, was counted as two.
-  void TargetThatTellsItsLoadAgainCountsOnce()
+  void TargetThatReportsItsLoadAgainCountsOnce()
   {
     AddTargets(1);
     for (int i = 0; i < 3; ++i) {
@@ -655,7 +655,7 @@
                          mState.mServices["service"].mRecentReporters.size());
   }
 
-  void SubsetsOfManyHostsHoldEveryTargetAboutEquallyOften()
+  void SubsetsOfManyHostsIncludeEveryTargetAboutEquallyOften()
   {
     std::map<std::string, wire::TargetRecord> targets;
     for (int i = 0; i < 160; ++i) {
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -16,11 +16,11 @@
 
 /// Requests a second of a host that gets an unusually large share of the
 /// clients, and of one with its usual share.
-constexpr double kMany = 100;
-constexpr double kFew = 20;
+constexpr double kHighRate = 100;
+constexpr double kUsualRate = 20;
 
 // Microseconds of processor time per request at one host.
-double WorkOfARequest(int aTargets, double aPerSecond)
+double ProcessorTimePerRequest(int aTargets, double aPerSecond)
 {
   DispatchLoad load;
   load.mHosts = 1;
@@ -57,7 +57,7 @@
   CPPUNIT_TEST_SUITE(DispatchWorkTest);
   CPPUNIT_TEST(WorkOfARequestHardlyGrowsWithTheTargets);
   CPPUNIT_TEST(WorkOfARequestHardlyGrowsWithThoseThatWait);
-  CPPUNIT_TEST(WorkOfARequestLeavesTimeForTheGroup);
+  CPPUNIT_TEST(CostOfARequestLeavesTimeForConsensus);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -65,8 +65,8 @@
   // with the targets.
   void WorkOfARequestHardlyGrowsWithTheTargets()
   {
-    const double few = WorkOfARequest(64, kMany);
-    const double many = WorkOfARequest(735, kMany);
+    const double few = ProcessorTimePerRequest(64, kHighRate);
+    const double many = ProcessorTimePerRequest(735, kHighRate);
     CPPUNIT_ASSERT_MESSAGE(
       std::to_string(many) + " us of " + std::to_string(few), many < 3 * few);
   }
@@ -75,8 +75,8 @@
   // requests are checked twice.
   void WorkOfARequestHardlyGrowsWithThoseThatWait()
   {
-    const double usual = WorkOfARequest(735, kFew);
-    const double busy = WorkOfARequest(735, kMany);
+    const double usual = ProcessorTimePerRequest(735, kUsualRate);
+    const double busy = ProcessorTimePerRequest(735, kHighRate);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us of " +
                              std::to_string(usual),
                            busy < 5 * usual);
@@ -84,9 +84,9 @@
 
   // A host with a quarter of a core and 160 requests a second keeps three
   // quarters of its processor time for consensus, peer hosts and connections.
-  void WorkOfARequestLeavesTimeForTheGroup()
+  void CostOfARequestLeavesTimeForConsensus()
   {
-    const double busy = WorkOfARequest(735, 160);
+    const double busy = ProcessorTimePerRequest(735, 160);
     constexpr double kCores = 0.25;
     constexpr double kMost = 1e6 * kCores / 4 / 160;
     CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us", busy < kMost);
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -10,17 +10,17 @@
 class LearningTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(LearningTest);
-  CPPUNIT_TEST(TargetsThatLoseByTheLastSlotAreFilledLess);
-  CPPUNIT_TEST(TargetsThatDoNotCareAreFilled);
-  CPPUNIT_TEST(WrongStartValueIsLeftWithinTwentyAnswers);
-  CPPUNIT_TEST(TimeThatSpeedsHoldFollowsTheReports);
-  CPPUNIT_TEST(ClientThatHasWaitedIsTakenForAReturn);
-  CPPUNIT_TEST(ClientsThatChangeTheirPatienceAreLearntAnew);
+  CPPUNIT_TEST(TargetsSlowedByTheLastSlotAreNotFilled);
+  CPPUNIT_TEST(TargetsUnaffectedByLoadAreFilled);
+  CPPUNIT_TEST(WrongEstimateIsCorrectedByNewAnswers);
+  CPPUNIT_TEST(MeanSpeedDurationFollowsTheReports);
+  CPPUNIT_TEST(ClientThatHasWaitedIsClassifiedAsARetry);
+  CPPUNIT_TEST(ChangedClientTimeoutsResetTheStatistics);
   CPPUNIT_TEST(ServicesWithOppositeCurvesAreBothServed);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void TargetsThatLoseByTheLastSlotAreFilledLess()
+  void TargetsSlowedByTheLastSlotAreNotFilled()
   {
     LoadCurve curve;
     Fill(curve, 3, 1.7);
@@ -33,7 +33,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.7, LatencyFactorAt(pair, 1, 2), 0.1);
   }
 
-  void TargetsThatDoNotCareAreFilled()
+  void TargetsUnaffectedByLoadAreFilled()
   {
     for (const int slots : { 1, 2, 4, 100 }) {
       LoadCurve curve;
@@ -43,7 +43,7 @@
     }
   }
 
-  void WrongStartValueIsLeftWithinTwentyAnswers()
+  void WrongEstimateIsCorrectedByNewAnswers()
   {
     LoadCurve curve;
     for (int answer = 0; answer < 100; ++answer) {
@@ -60,15 +60,21 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, LatencyFactorAt(fresh, 3, 4), 0.05);
   }
 
-  void TimeThatSpeedsHoldFollowsTheReports()
+  void MeanSpeedDurationFollowsTheReports()
   {
     SpeedStatistics quick;
     SpeedStatistics steady;
     for (int report = 0; report < 1000; ++report) {
       const double other = report % 10 == 0 ? 4 : 1;
       const double before = report % 10 == 1 ? 4 : 1;
-      LearnSpeed(quick, Told(before), 10 * kMillisecond, Told(other));
-      LearnSpeed(steady, Told(1), 10 * kMillisecond, Told(1));
+      LearnSpeed(quick,
+                 ReportWithSlowness(before),
+                 10 * kMillisecond,
+                 ReportWithSlowness(other));
+      LearnSpeed(steady,
+                 ReportWithSlowness(1),
+                 10 * kMillisecond,
+                 ReportWithSlowness(1));
     }
     // Two speed changes in each tenth of a second.
     CPPUNIT_ASSERT_DOUBLES_EQUAL(
@@ -76,7 +82,7 @@
     CPPUNIT_ASSERT(MeanSpeedDuration(steady) > 5.0 * kSecond);
   }
 
-  void ClientThatHasWaitedIsTakenForAReturn()
+  void ClientThatHasWaitedIsClassifiedAsARetry()
   {
     PatienceStatistics learnt;
     const Micros objective = 300 * kMillisecond;
@@ -91,7 +97,7 @@
     CPPUNIT_ASSERT(!IsClientRetry(learnt, 0, objective));
   }
 
-  void ClientsThatChangeTheirPatienceAreLearntAnew()
+  void ChangedClientTimeoutsResetTheStatistics()
   {
     PatienceStatistics learnt;
     const Micros objective = 300 * kMillisecond;
@@ -128,19 +134,19 @@
   }
 
 private:
-  static Report Told(double aSlowness)
+  static Report ReportWithSlowness(double aSlowness)
   {
     Report report;
     report.mSlowness = aSlowness;
     return report;
   }
 
-  static void Fill(LoadCurve& aCurve, int aSlots, double aLast)
+  static void Fill(LoadCurve& aCurve, int aSlots, double aLastFactor)
   {
     for (int answer = 0; answer < 40; ++answer) {
       for (int occupancy = 1; occupancy < aSlots; ++occupancy) {
         const bool last = occupancy + 1 == aSlots;
-        LearnLatencyFactor(aCurve, occupancy, aSlots, last ? aLast : 1);
+        LearnLatencyFactor(aCurve, occupancy, aSlots, last ? aLastFactor : 1);
       }
     }
   }
