--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -234,10 +234,10 @@
 Micros RetryAfter(State& aState, Micros aExpectedWait)
 {
   // Random jitter: clients that were refused together must not retry together.
-  constexpr Micros kLeast = 100 * kMillisecond;
-  const Micros middle = std::max(kLeast, aExpectedWait);
-  return middle / 2 +
-         static_cast<Micros>(NextUniform(aState) * static_cast<double>(middle));
+  constexpr Micros kMinMean = 100 * kMillisecond;
+  const Micros mean = std::max(kMinMean, aExpectedWait);
+  return mean / 2 +
+         static_cast<Micros>(NextUniform(aState) * static_cast<double>(mean));
 }
 
 void StartWaiting(State& aState, Micros aNow, Request& aRequest, Effects& aOut)
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -13,8 +13,8 @@
 
 std::shared_ptr<const policy::TrafficPolicy> MakePolicy()
 {
-  auto made = std::make_shared<policy::TrafficPolicy>();
-  made->mVersion = 1;
+  auto trafficPolicy = std::make_shared<policy::TrafficPolicy>();
+  trafficPolicy->mVersion = 1;
   policy::Route route;
   route.mName = "route";
   route.mHostName = "host";
@@ -25,10 +25,10 @@
   route.mAttempts = 1;
   route.mPriority = 1;
   route.mBackends = { { "service", 1 } };
-  made->mRoutes = { route };
-  made->mServices["service"] = { "service", "/health", 100 };
-  policy::BuildIndex(*made);
-  return made;
+  trafficPolicy->mRoutes = { route };
+  trafficPolicy->mServices["service"] = { "service", "/health", 100 };
+  policy::BuildIndex(*trafficPolicy);
+  return trafficPolicy;
 }
 
 template<class Kind>
@@ -87,9 +87,9 @@
   {
     const Effects broken = Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<ProbeTarget>(broken).size());
-    const auto told = All<SendFact>(EndProbe(Answer::Refused));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), told.size());
-    CPPUNIT_ASSERT(told[0].mItem.mKind == gossip::Kind::RequestCrash);
+    const auto facts = All<SendFact>(EndProbe(Answer::Refused));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), facts.size());
+    CPPUNIT_ASSERT(facts[0].mItem.mKind == gossip::Kind::RequestCrash);
   }
 
   void BrokenAnswerWhoseAddressIsTakenIsACrash()
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -67,9 +67,9 @@
   {
     DispatchLoad load;
     load.mHosts = kHosts;
-    const double atOnce = load.mTargets * (1 - load.mSlowShare);
+    const double usualTargets = load.mTargets * (1 - load.mSlowShare);
     load.mPerSecond =
-      aShare * atOnce * kSecond / static_cast<double>(load.mWork);
+      aShare * usualTargets * kSecond / static_cast<double>(load.mWork);
     return load;
   }
 
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -30,14 +30,16 @@
 
 std::shared_ptr<const policy::TrafficPolicy> MakePolicy()
 {
-  auto made = std::make_shared<policy::TrafficPolicy>();
-  made->mVersion = 1;
-  made->mRoutes = { MakeRoute("/safe/", policy::RouteKind::Safe, 1),
-                    MakeRoute("/unsafe/", policy::RouteKind::Unsafe, 1),
-                    MakeRoute("/bulk/", policy::RouteKind::Download, 5) };
-  made->mServices["service"] = { "service", "/health", 100 };
-  policy::BuildIndex(*made);
-  return made;
+  auto trafficPolicy = std::make_shared<policy::TrafficPolicy>();
+  trafficPolicy->mVersion = 1;
+  trafficPolicy->mRoutes = {
+    MakeRoute("/safe/", policy::RouteKind::Safe, 1),
+    MakeRoute("/unsafe/", policy::RouteKind::Unsafe, 1),
+    MakeRoute("/bulk/", policy::RouteKind::Download, 5)
+  };
+  trafficPolicy->mServices["service"] = { "service", "/health", 100 };
+  policy::BuildIndex(*trafficPolicy);
+  return trafficPolicy;
 }
 
 wire::TargetRecord MakeTarget(const std::string& aId, bool aDraining = false)
@@ -347,15 +349,15 @@
     AddTargets(2);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", 400 * kMillisecond);
-    const std::uint64_t brief = mLastId;
+    const std::uint64_t shortTimeout = mLastId;
     ArriveWithPatience("/unsafe/x", kSecond);
-    const std::uint64_t patient = mLastId;
+    const std::uint64_t longTimeout = mLastId;
     Advance(90 * kMillisecond);
     CPPUNIT_ASSERT(All<ReplyToClient>(mEffects).empty());
     Advance(20 * kMillisecond);
     const auto replies = All<ReplyToClient>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), replies.size());
-    CPPUNIT_ASSERT_EQUAL(brief, replies[0].mRequest);
+    CPPUNIT_ASSERT_EQUAL(shortTimeout, replies[0].mRequest);
     CPPUNIT_ASSERT_EQUAL(503, replies[0].mStatus);
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
     Advance(90 * kMillisecond);
@@ -364,7 +366,7 @@
     AnswerProbes();
     const auto sent = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), sent.size());
-    CPPUNIT_ASSERT_EQUAL(patient, sent[0].mRequest);
+    CPPUNIT_ASSERT_EQUAL(longTimeout, sent[0].mRequest);
     // The deadline counts from the arrival.
     CPPUNIT_ASSERT_EQUAL(mNow + 800 * kMillisecond, sent[0].mDeadline);
   }
@@ -493,10 +495,10 @@
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
     CPPUNIT_ASSERT(All<SendRequest>(mEffects).empty());
     // Half of the route's timeout of one second.
-    const Micros held = mNow - arrivedAt;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(held),
-                           held > 300 * kMillisecond &&
-                             held < 550 * kMillisecond);
+    const Micros waited = mNow - arrivedAt;
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(waited),
+                           waited > 300 * kMillisecond &&
+                             waited < 550 * kMillisecond);
   }
 
   // Only one of eight targets is available, and it is idle.
@@ -663,7 +665,7 @@
       record.set_data_centre("dc" + std::to_string(i % 4));
       targets[Name(i)] = record;
     }
-    std::map<std::string, int> held;
+    std::map<std::string, int> subsetCounts;
     for (int host = 0; host < 134; ++host) {
       State state;
       state.mHostId = "10.0.0." + std::to_string(host) + ":1";
@@ -673,11 +675,11 @@
       const auto& subset = state.mServices["service"].mSubset;
       CPPUNIT_ASSERT_EQUAL(std::size_t(12), subset.size());
       for (const std::string& id : subset) {
-        ++held[id];
+        ++subsetCounts[id];
       }
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(160), held.size());
-    for (const auto& [id, count] : held) {
+    CPPUNIT_ASSERT_EQUAL(std::size_t(160), subsetCounts.size());
+    for (const auto& [id, count] : subsetCounts) {
       CPPUNIT_ASSERT_MESSAGE(id, count >= 2 && count <= 24);
     }
   }
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -88,8 +88,8 @@
   {
     const double busy = ProcessorTimePerRequest(735, 160);
     constexpr double kCores = 0.25;
-    constexpr double kMost = 1e6 * kCores / 4 / 160;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us", busy < kMost);
+    constexpr double kMaxMicros = 1e6 * kCores / 4 / 160;
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us", busy < kMaxMicros);
   }
 };
 
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -20,8 +20,8 @@
 std::shared_ptr<const policy::TrafficPolicy> PolicyFor(
   const DispatchLoad& aLoad)
 {
-  auto made = std::make_shared<policy::TrafficPolicy>();
-  made->mVersion = 1;
+  auto trafficPolicy = std::make_shared<policy::TrafficPolicy>();
+  trafficPolicy->mVersion = 1;
   policy::Route route;
   route.mName = "route";
   route.mHostName = "host";
@@ -33,10 +33,10 @@
   route.mAttempts = 2;
   route.mPriority = 1;
   route.mBackends = { { "service", 1 } };
-  made->mRoutes = { route };
-  made->mServices["service"] = { "service", "/health", 1000 };
-  policy::BuildIndex(*made);
-  return made;
+  trafficPolicy->mRoutes = { route };
+  trafficPolicy->mServices["service"] = { "service", "/health", 1000 };
+  policy::BuildIndex(*trafficPolicy);
+  return trafficPolicy;
 }
 
 std::string DataCentre(int aIndex, const DispatchLoad& aLoad)
@@ -119,9 +119,9 @@
   while (mNow < aUntil) {
     mNow += kTimeStep;
     while (!mQueue.empty() && mQueue.begin()->first <= mNow) {
-      const std::function<void()> what = std::move(mQueue.begin()->second);
+      const std::function<void()> task = std::move(mQueue.begin()->second);
       mQueue.erase(mQueue.begin());
-      what();
+      task();
     }
     for (std::size_t host = 0; host < mHosts.size(); ++host) {
       if (dispatch::NextTick(mHosts[host]) <= mNow) {
@@ -310,10 +310,10 @@
 double DispatchWorld::SlownessOf(const FakeTarget& aTarget) const
 {
   const Micros span = (mNow + aTarget.mPhase) / mLoad.mSpeedDuration;
-  const std::uint64_t word =
+  const std::uint64_t hash =
     Hash64(std::to_string(aTarget.mPhase) + "/" + std::to_string(span));
-  const double point = static_cast<double>(word >> 11) / 9007199254740992.0;
-  return point < mLoad.mSlowShare ? mLoad.mSlowFactor : 1;
+  const double uniform = static_cast<double>(hash >> 11) / 9007199254740992.0;
+  return uniform < mLoad.mSlowShare ? mLoad.mSlowFactor : 1;
 }
 
 dispatch::Report DispatchWorld::ReportOf(const FakeTarget& aTarget) const
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -120,9 +120,9 @@
       load.mHosts = 20;
       load.mCrowdedFactor = factor;
       const double usual = load.mTargets * (1 - load.mSlowShare);
-      const double atOnce = factor > 2 ? 2 : 3;
-      load.mPerSecond =
-        1.2 * atOnce * usual * kSecond / static_cast<double>(load.mWork);
+      const double efficientSlots = factor > 2 ? 2 : 3;
+      load.mPerSecond = 1.2 * efficientSlots * usual * kSecond /
+                        static_cast<double>(load.mWork);
       fakes::DispatchWorld world(load, 5);
       world.AddTargets();
       const fakes::DispatchOutcomes outcomes = world.Play(20 * kSecond);
