--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -196,8 +196,8 @@
     return;
   }
   const std::string near = NearControl(aState, aNow, aMessage);
-  const bool isLocal = aMessage.data_centre() == aState.mSettings.mDataCentre;
-  if (near.empty() || isLocal) {
+  const bool isNear = aMessage.data_centre() == aState.mSettings.mDataCentre;
+  if (near.empty() || isNear) {
     AcceptOffer(aState, aNow, aFrom, aOut);
     return;
   }
