--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -31,9 +31,9 @@
   }
 
   // At 1.4 times the capacity, each request that is sent late takes a slot from
-  // one that could be on time. The share on time was 0.25 when late requests
-  // took any capacity, 0.60 when they took any target that was not crowded, and
-  // is 0.80 with the present rule.
+  // one that could be on time. The share on time is 0.25 if late requests take
+  // any capacity, 0.60 if they take any target that is not crowded, and 0.80 if
+  // they take only spare capacity.
   void OverloadLeavesMostRequestsOnTimeOverManyHosts()
   {
     const DispatchOutcomes heavy = Play(LoadOf(1.4));
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -41,8 +41,8 @@
 } // namespace
 
 // Guards against processor overload after an outage of all 476 hosts: the hosts
-// with a disk answered requests a second late or not at all, two groups of six
-// lost their leader repeatedly, and the policy sometimes could not be read
+// with a disk answered requests a second late or not at all, two of six
+// repeatedly lost their leader, and the policy sometimes could not be read
 // back.
 //
 // Such a host gets twenty times its share of the requests, more than its probe
