--- a/bench/dispatch_bench.cpp
+++ b/bench/dispatch_bench.cpp
@@ -11,11 +11,11 @@
 using geraniumpond::fakes::DispatchOutcomes;
 using geraniumpond::fakes::DispatchWorld;
 
-void Play(const char* aName, const DispatchLoad& aLoad)
+void RunLoad(const char* aName, const DispatchLoad& aLoad)
 {
   DispatchWorld world(aLoad, 7);
   world.AddTargets();
-  const DispatchOutcomes outcomes = world.Play(20 * geraniumpond::kSecond);
+  const DispatchOutcomes outcomes = world.RunLoad(20 * geraniumpond::kSecond);
   const double offered = outcomes.mOffered;
   std::printf("%-26s %8d %8.3f %8.3f %8.3f %8.3f %8.2f %8.2f %10zu\n",
               aName,
@@ -58,7 +58,7 @@
                     "%s %.0f %%",
                     idempotent ? "idempotent" : "once only",
                     100 * share);
-      Play(name, load);
+      RunLoad(name, load);
     }
   }
   return EXIT_SUCCESS;
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -25,7 +25,7 @@
     for (const bool idempotent : { true, false }) {
       DispatchLoad load = LoadOf(0.7);
       load.mIdempotent = idempotent;
-      const DispatchOutcomes outcomes = Play(load);
+      const DispatchOutcomes outcomes = RunLoad(load);
       CPPUNIT_ASSERT(outcomes.mInTime > 0.98 * outcomes.mOffered);
     }
   }
@@ -36,16 +36,16 @@
   // they take only spare capacity.
   void OverloadLeavesMostRequestsOnTimeOverManyHosts()
   {
-    const DispatchOutcomes heavy = Play(LoadOf(1.4));
+    const DispatchOutcomes heavy = RunLoad(LoadOf(1.4));
     CPPUNIT_ASSERT(heavy.mInTime > 0.72 * heavy.mOffered);
     CPPUNIT_ASSERT(heavy.mInTime + heavy.mLate > 0.9 * heavy.mOffered);
-    const DispatchOutcomes full = Play(LoadOf(1.2));
+    const DispatchOutcomes full = RunLoad(LoadOf(1.2));
     CPPUNIT_ASSERT(full.mInTime > 0.9 * full.mOffered);
   }
 
   void HostsContactOnlyTheirSubsetUnderLoad()
   {
-    const DispatchOutcomes outcomes = Play(LoadOf(1));
+    const DispatchOutcomes outcomes = RunLoad(LoadOf(1));
     CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
@@ -53,7 +53,7 @@
   {
     DispatchWorld world(LoadOf(0.2), 3);
     world.AddTargetsOneByOne(20 * kMillisecond);
-    const DispatchOutcomes outcomes = world.Play(5 * kSecond);
+    const DispatchOutcomes outcomes = world.RunLoad(5 * kSecond);
     CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
@@ -73,11 +73,11 @@
     return load;
   }
 
-  static DispatchOutcomes Play(const DispatchLoad& aLoad)
+  static DispatchOutcomes RunLoad(const DispatchLoad& aLoad)
   {
     DispatchWorld world(aLoad, 7);
     world.AddTargets();
-    return world.Play(20 * kSecond);
+    return world.RunLoad(20 * kSecond);
   }
 };
 
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -34,7 +34,7 @@
   DispatchWorld world(load, 7);
   world.AddTargets();
   const double start = ProcessorSeconds();
-  const DispatchOutcomes outcomes = world.Play(5 * kSecond);
+  const DispatchOutcomes outcomes = world.RunLoad(5 * kSecond);
   return 1e6 * (ProcessorSeconds() - start) / outcomes.mOffered;
 }
 
--- a/tests/fakes/dispatch_world.cpp
+++ b/tests/fakes/dispatch_world.cpp
@@ -100,7 +100,7 @@
   }
 }
 
-DispatchOutcomes DispatchWorld::Play(Micros aTime)
+DispatchOutcomes DispatchWorld::RunLoad(Micros aTime)
 {
   std::exponential_distribution<double> gaps(mLoad.mPerSecond);
   const Micros end = mNow + aTime;
--- a/tests/fakes/dispatch_world.h
+++ b/tests/fakes/dispatch_world.h
@@ -60,7 +60,7 @@
   DispatchWorld(const DispatchLoad& aLoad, std::uint64_t aSeed);
 
   /// \brief Runs requests for `aTime`, and waits for the last ones to end.
-  DispatchOutcomes Play(Micros aTime);
+  DispatchOutcomes RunLoad(Micros aTime);
 
   /// \brief Adds the targets one by one, `aGap` apart, as they announce
   /// themselves during a rollout.
--- a/tests/learning_test.cpp
+++ b/tests/learning_test.cpp
@@ -125,7 +125,7 @@
                         static_cast<double>(load.mWork);
       fakes::DispatchWorld world(load, 5);
       world.AddTargets();
-      const fakes::DispatchOutcomes outcomes = world.Play(20 * kSecond);
+      const fakes::DispatchOutcomes outcomes = world.RunLoad(20 * kSecond);
       const double share =
         static_cast<double>(outcomes.mInTime) / outcomes.mOffered;
       CPPUNIT_ASSERT_MESSAGE(
