--- a/bench/dispatch_bench.cpp
+++ b/bench/dispatch_bench.cpp
@@ -3,30 +3,30 @@
 #include <cstdio>
 #include <cstdlib>
 
-/// \brief What clients get from the gateway's choice of targets, by load: many
-/// hosts, targets with few slots whose speed moves every half second.
+/// \brief Measures the outcomes of clients' requests by load: many hosts,
+/// targets with few slots whose speed changes every half second.
 namespace {
 
 using geraniumpond::fakes::DispatchLoad;
-using geraniumpond::fakes::DispatchTally;
+using geraniumpond::fakes::DispatchOutcomes;
 using geraniumpond::fakes::DispatchWorld;
 
-void Play(const char* aName, const DispatchLoad& aLoad)
+void RunLoad(const char* aName, const DispatchLoad& aLoad)
 {
   DispatchWorld world(aLoad, 7);
   world.AddTargets();
-  const DispatchTally tally = world.Play(20 * geraniumpond::kSecond);
-  const double offered = tally.mOffered;
+  const DispatchOutcomes outcomes = world.RunLoad(20 * geraniumpond::kSecond);
+  const double offered = outcomes.mOffered;
   std::printf("%-26s %8d %8.3f %8.3f %8.3f %8.3f %8.2f %8.2f %10zu\n",
               aName,
-              tally.mOffered,
-              tally.mInTime / offered,
-              tally.mLate / offered,
-              tally.mRefused / offered,
-              tally.mFailed / offered,
-              tally.mSends / offered,
-              tally.mProbes / offered,
-              tally.mMeetings);
+              outcomes.mOffered,
+              outcomes.mInTime / offered,
+              outcomes.mLate / offered,
+              outcomes.mRefused / offered,
+              outcomes.mFailed / offered,
+              outcomes.mSends / offered,
+              outcomes.mProbes / offered,
+              outcomes.mContacts);
 }
 
 } // namespace
@@ -47,7 +47,7 @@
     for (const bool idempotent : { true, false }) {
       DispatchLoad load;
       load.mIdempotent = idempotent;
-      // What the targets that work as usual can do, one request at a time.
+      // Throughput of the targets of usual speed, one request at a time each.
       const double room = load.mTargets * (1 - load.mSlowShare) *
                           geraniumpond::kSecond /
                           static_cast<double>(load.mWork);
@@ -58,7 +58,7 @@
                     "%s %.0f %%",
                     idempotent ? "idempotent" : "once only",
                     100 * share);
-      Play(name, load);
+      RunLoad(name, load);
     }
   }
   return EXIT_SUCCESS;
--- a/src/dispatch/cost.cpp
+++ b/src/dispatch/cost.cpp
@@ -7,26 +7,29 @@
 
 namespace {
 
-/// A failing target is ranked as many times dearer at a failure share of 1.
+/// At a failure share of 1 the cost of a target is multiplied by 1 plus this.
 constexpr double kFailureWeight = 8;
-/// Smoothing of the failure share, and the time in which it halves.
+/// Smoothing gain of the failure share, and its half-life.
 constexpr double kFailureGain = 0.25;
 constexpr Micros kFailureHalfLife = 4 * kSecond;
-/// Crossing between data centres is as dear as this share of the work for a
-/// small answer, and grows with its size: links between them are shared.
+/// Cost of crossing between data centres, as a share of the service time: this
+/// much for a small answer, growing with the size of the answer because links
+/// between data centres are shared.
 constexpr double kCrossingShare = 0.3;
 constexpr double kCrossingBytes = 20000;
 constexpr double kCrossingMax = 6;
-/// An answer that takes longer than this on the own link is a large one.
+/// An answer that takes longer than this to transfer on the host's link counts
+/// as large.
 constexpr Micros kSmallAnswerTime = 50 * kMillisecond;
-/// Large answers that are on their way together take no longer than this on the
-/// own link, unless one alone does: probes, policies and other answers wait
-/// behind them.
+/// Concurrent large answers may occupy the host's link for no longer than this,
+/// unless a single one does: probes, policies and other answers queue behind
+/// them.
 constexpr Micros kLargeAnswersTime = 400 * kMillisecond;
-/// A trip to another data centre and back.
+/// Round-trip time to another data centre.
 constexpr Micros kCrossingTime = 3 * kMillisecond;
 
-// An old report says as much as speeds that hold for their usual time let it.
+// The weight of an old report decreases with its age, relative to the mean time
+// for which targets keep their speed.
 double SlownessOf(const Target& aTarget,
                   const SpeedStatistics& aSpeeds,
                   Micros aNow) noexcept
@@ -35,7 +38,7 @@
     return aSpeeds.mMean;
   }
   const double age = static_cast<double>(aNow - aTarget.mReportAt);
-  const double trust = std::exp(-age / SpeedTime(aSpeeds));
+  const double trust = std::exp(-age / MeanSpeedDuration(aSpeeds));
   return aTarget.mReport->mSlowness * trust + aSpeeds.mMean * (1 - trust);
 }
 
@@ -43,7 +46,7 @@
 
 bool IsFresh(const Target& aTarget, Micros aNow) noexcept
 {
-  return aTarget.mReport && aNow - aTarget.mReportAt <= kFreshReport;
+  return aTarget.mReport && aNow - aTarget.mReportAt <= kMaxReportAge;
 }
 
 int Slots(const Target& aTarget) noexcept
@@ -54,12 +57,12 @@
 
 int Occupancy(const Target& aTarget, Micros aNow) noexcept
 {
-  if (!aTarget.mReport || aNow - aTarget.mReportAt > 10 * kFreshReport) {
+  if (!aTarget.mReport || aNow - aTarget.mReportAt > 10 * kMaxReportAge) {
     return aTarget.mRunning;
   }
   const Report& report = *aTarget.mReport;
   return std::max(aTarget.mRunning,
-                  report.mRunning + report.mWaiting + aTarget.mSentSince);
+                  report.mRunning + report.mWaiting + aTarget.mSentSinceReport);
 }
 
 bool HasFreeSlot(const Target& aTarget, Micros aNow) noexcept
@@ -74,8 +77,8 @@
   const Service& service = *aNeed.mService;
   double work = static_cast<double>(aNeed.mWork) *
                 SlownessOf(aTarget, service.mSpeeds, aNow);
-  if (aNow < aTarget.mWarmAt) {
-    work *= service.mColdStretch;
+  if (aNow < aTarget.mWarmUpEnd) {
+    work *= service.mColdLatencyFactor;
   }
   const int slots = Slots(aTarget);
   const int occupancy = Occupancy(aTarget, aNow);
@@ -83,7 +86,7 @@
   if (occupancy >= slots) {
     time += work * (occupancy - slots + 1) / slots;
   }
-  time *= StretchAt(service.mCurve, occupancy, slots);
+  time *= LatencyFactorAt(service.mCurve, occupancy, slots);
   if (aTarget.mDataCentre != aNeed.mDataCentre) {
     time += static_cast<double>(kCrossingTime);
   }
@@ -98,7 +101,7 @@
   return Occupancy(aTarget, aNow) + 1 <= limit;
 }
 
-bool TellsOfRoom(const Report& aReport, const LoadCurve& aCurve) noexcept
+bool ShowsSpareCapacity(const Report& aReport, const LoadCurve& aCurve) noexcept
 {
   const int occupancy = aReport.mRunning + aReport.mWaiting;
   return aReport.mSlowness <= kUsualSlowness &&
@@ -113,7 +116,8 @@
       kCrossingMax, kCrossingShare + aNeed.mAnswerBytes / kCrossingBytes);
     cost += share * static_cast<double>(aNeed.mWork);
   }
-  // Among equals the emptier one: the next request finds both usable.
+  // Prefer the less loaded of equal targets, so that the next request finds
+  // both usable.
   cost *= 1 + 0.05 * Occupancy(aTarget, aNow) / Slots(aTarget);
   return cost * (1 + kFailureWeight * FailureShare(aTarget, aNow));
 }
@@ -128,10 +132,10 @@
 bool FitsLink(const State& aState, const Need& aNeed) noexcept
 {
   const double bytes = LargeBytes(aState, aNeed);
-  const double most = aState.mBounds.mLinkBytesPerSecond *
-                      static_cast<double>(kLargeAnswersTime) / kSecond;
+  const double maxBytes = aState.mBounds.mLinkBytesPerSecond *
+                          static_cast<double>(kLargeAnswersTime) / kSecond;
   return bytes == 0 || aState.mLargeBytes == 0 ||
-         aState.mLargeBytes + bytes <= most;
+         aState.mLargeBytes + bytes <= maxBytes;
 }
 
 double FailureShare(const Target& aTarget, Micros aNow) noexcept
@@ -140,7 +144,7 @@
   return aTarget.mFailureShare * std::exp2(-age / kFailureHalfLife);
 }
 
-void NoteResult(Target& aTarget, bool aFailed, Micros aNow) noexcept
+void RecordResult(Target& aTarget, bool aFailed, Micros aNow) noexcept
 {
   const double share = FailureShare(aTarget, aNow);
   aTarget.mFailureShare = share + kFailureGain * ((aFailed ? 1 : 0) - share);
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -3,23 +3,25 @@
 #include <algorithm>
 #include <cstdlib>
 
-// Which targets ended, and under which requests. A broken answer alone says
-// little: links are cut, connections reset and idle ones closed. So the target
-// is asked at once: if its address refuses, or another incarnation answers
-// there, it has ended, and every request that it had is suspected.
+// Detects targets that ended and the requests that they were running. A broken
+// answer alone proves little, because links fail, connections are reset and
+// idle ones are closed. The target is therefore probed at once: if its address
+// refuses connections, or another incarnation answers there, it has ended, and
+// every request that it was running becomes suspected.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A target that has neither refused nor answered by then is out of reach.
-constexpr Micros kOpenEndTime = 3 * kSecond;
-constexpr std::size_t kMostOpenEnds = 64;
-/// An answer is told to other hosts again after this time: well within that
-/// for which it counts.
-constexpr Micros kAnswerPace = 5 * kSecond;
+/// A target that has neither refused a connection nor answered within this time
+/// is treated as unreachable, not as ended.
+constexpr Micros kBrokenAnswerLifetime = 3 * kSecond;
+constexpr std::size_t kMaxBrokenAnswers = 64;
+/// Interval at which an answer is reported to other hosts again; well below the
+/// time for which it counts.
+constexpr Micros kAnswerReportInterval = 5 * kSecond;
 constexpr std::size_t kIdentityDigits = 16;
-/// Value of an answer that an operator vouches for.
-constexpr const char* kReleased = "released";
+/// Value of an answer fact that stands for a release by an operator.
+constexpr const char* kReleasedValue = "released";
 
 void LogVerdict(const State& aState,
                 std::uint64_t aIdentity,
@@ -54,7 +56,7 @@
   }
 }
 
-gossip::Item ItemOf(std::uint64_t aIdentity, const quarantine::Crash& aCrash)
+gossip::Item CrashFact(std::uint64_t aIdentity, const quarantine::Crash& aCrash)
 {
   return { gossip::Kind::RequestCrash,
            Hexadecimal(aIdentity) + "/" + aCrash.mTarget,
@@ -62,39 +64,40 @@
            aCrash.mAt };
 }
 
-void TellAnswer(State& aState,
-                std::uint64_t aIdentity,
-                Micros aAt,
-                Effects& aOut)
+void SendAnswerFact(State& aState,
+                    std::uint64_t aIdentity,
+                    Micros aAt,
+                    Effects& aOut)
 {
   const auto found = aState.mQuarantine.mRecords.find(aIdentity);
   if (found == aState.mQuarantine.mRecords.end() ||
-      aAt < found->second.mAnsweredAt + kAnswerPace) {
+      aAt < found->second.mAnsweredAt + kAnswerReportInterval) {
     return;
   }
   quarantine::NoteAnswer(aState.mQuarantine, aIdentity, aAt);
-  aOut.emplace_back(TellFleet{
+  aOut.emplace_back(SendFact{
     { gossip::Kind::RequestAnswered, Hexadecimal(aIdentity), "", aAt } });
 }
 
-void ConfirmEnd(State& aState,
-                Micros aNow,
-                const Target& aTarget,
-                std::uint64_t aIdentity,
-                Effects& aOut)
+void RecordCrash(State& aState,
+                 Micros aNow,
+                 const Target& aTarget,
+                 std::uint64_t aIdentity,
+                 Effects& aOut)
 {
   ++aState.mCounters["requests_at_ended_targets"];
   const quarantine::Crash crash{ aTarget.mId, aTarget.mRelease, aNow };
   AddCrash(aState, aNow, aIdentity, crash, aOut);
-  aOut.emplace_back(TellFleet{ ItemOf(aIdentity, crash) });
+  aOut.emplace_back(SendFact{ CrashFact(aIdentity, crash) });
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, aIdentity);
   if (answered != 0) {
-    TellAnswer(aState, aIdentity, answered, aOut);
+    SendAnswerFact(aState, aIdentity, answered, aOut);
   }
 }
 
-// Whether a target has ended is worth a probe beyond the budget; it is charged.
-void AskNow(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+// Detecting that a target has ended justifies a probe beyond the budget; the
+// probe is still charged.
+void ProbeNow(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
   (void)budget::Take(aState.mProbeBudget, aNow, 1);
   Probe(aState, aNow, aTarget, aOut);
@@ -105,8 +108,8 @@
   return std::strtoull(aText.substr(0, kIdentityDigits).c_str(), nullptr, 16);
 }
 
-// A target that ended without a word stays in the catalog.
-std::set<std::string> ReleasesThatRun(const State& aState,
+// A target that crashed without withdrawing stays in the catalog.
+std::set<std::string> RunningReleases(const State& aState,
                                       const std::string& aService,
                                       const quarantine::Record& aRecord)
 {
@@ -117,7 +120,7 @@
   std::set<std::string> releases;
   for (const std::string& id : aState.mServices.at(aService).mTargets) {
     const Target& target = aState.mTargets.at(id);
-    if (!target.mEnded && !target.mSuspect && ended.count(id) == 0) {
+    if (!target.mEnded && !target.mUnavailable && ended.count(id) == 0) {
       releases.insert(target.mRelease);
     }
   }
@@ -126,12 +129,12 @@
 
 } // namespace
 
-void NoteBroken(State& aState,
-                Micros aNow,
-                const Request& aRequest,
-                const Attempt& aAttempt,
-                const AttemptEnd& aEnd,
-                Effects& aOut)
+void HandleBrokenAnswer(State& aState,
+                        Micros aNow,
+                        const Request& aRequest,
+                        const Attempt& aAttempt,
+                        const AttemptEnd& aEnd,
+                        Effects& aOut)
 {
   ++aState.mCounters["attempts_broken"];
   Log(aOut,
@@ -140,84 +143,88 @@
         Describe(aState, aRequest, aNow) + " target=" + aAttempt.mTarget);
   const auto found = aState.mTargets.find(aAttempt.mTarget);
   if (found == aState.mTargets.end()) {
-    // It was leaving, and has left.
+    // The target was draining and has been removed.
     return;
   }
   Target& target = found->second;
   if (target.mEnded) {
-    ConfirmEnd(aState, aNow, target, aRequest.mIdentity, aOut);
+    RecordCrash(aState, aNow, target, aRequest.mIdentity, aOut);
     return;
   }
-  if (target.mOpenEnds.size() < kMostOpenEnds) {
-    target.mOpenEnds.push_back({ aRequest.mIdentity, aNow });
+  if (target.mBrokenAnswers.size() < kMaxBrokenAnswers) {
+    target.mBrokenAnswers.push_back({ aRequest.mIdentity, aNow });
   }
   if (!target.mProbing) {
-    AskNow(aState, aNow, target, aOut);
+    ProbeNow(aState, aNow, target, aOut);
   }
 }
 
-void NoteTargetEnded(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void HandleTargetEnd(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
-  const std::vector<OpenEnd> ends = std::exchange(aTarget.mOpenEnds, {});
+  const std::vector<BrokenAnswer> broken =
+    std::exchange(aTarget.mBrokenAnswers, {});
   if (!aTarget.mEnded) {
     ++aState.mCounters["targets_ended"];
     Log(aOut,
         2,
         "event=target_ended target=" + aTarget.mId + " service=" +
-          aTarget.mService + " requests=" + std::to_string(ends.size()));
+          aTarget.mService + " requests=" + std::to_string(broken.size()));
   }
   aTarget.mEnded = true;
-  for (const OpenEnd& end : ends) {
-    if (aNow - end.mBrokenAt <= kOpenEndTime) {
-      ConfirmEnd(aState, aNow, aTarget, end.mIdentity, aOut);
+  for (const BrokenAnswer& end : broken) {
+    if (aNow - end.mBrokenAt <= kBrokenAnswerLifetime) {
+      RecordCrash(aState, aNow, aTarget, end.mIdentity, aOut);
     }
   }
 }
 
-bool AskAboutOpenEnds(State& aState,
-                      Micros aNow,
-                      Target& aTarget,
-                      Effects& aOut)
+bool ProbeAfterBrokenAnswers(State& aState,
+                             Micros aNow,
+                             Target& aTarget,
+                             Effects& aOut)
 {
-  const bool open =
-    std::any_of(aTarget.mOpenEnds.begin(),
-                aTarget.mOpenEnds.end(),
-                [&](const OpenEnd& aEnd) {
+  const bool unresolved =
+    std::any_of(aTarget.mBrokenAnswers.begin(),
+                aTarget.mBrokenAnswers.end(),
+                [&](const BrokenAnswer& aEnd) {
                   return aEnd.mBrokenAt > aTarget.mProbeSentAt &&
-                         aNow - aEnd.mBrokenAt <= kOpenEndTime;
+                         aNow - aEnd.mBrokenAt <= kBrokenAnswerLifetime;
                 });
-  if (open) {
-    AskNow(aState, aNow, aTarget, aOut);
+  if (unresolved) {
+    ProbeNow(aState, aNow, aTarget, aOut);
   }
-  return open;
+  return unresolved;
 }
 
-void NoteTargetLives(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void HandleTargetAlive(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Effects& aOut)
 {
   aTarget.mEnded = false;
-  auto& ends = aTarget.mOpenEnds;
-  ends.erase(std::remove_if(ends.begin(),
-                            ends.end(),
-                            [&](const OpenEnd& aEnd) {
-                              return aEnd.mBrokenAt <= aTarget.mProbeSentAt;
-                            }),
-             ends.end());
-  (void)AskAboutOpenEnds(aState, aNow, aTarget, aOut);
+  auto& broken = aTarget.mBrokenAnswers;
+  broken.erase(std::remove_if(broken.begin(),
+                              broken.end(),
+                              [&](const BrokenAnswer& aEnd) {
+                                return aEnd.mBrokenAt <= aTarget.mProbeSentAt;
+                              }),
+               broken.end());
+  (void)ProbeAfterBrokenAnswers(aState, aNow, aTarget, aOut);
 }
 
-void NoteAnswered(State& aState,
+void RecordAnswer(State& aState,
                   Micros aNow,
                   std::uint64_t aIdentity,
                   Effects& aOut)
 {
   quarantine::RememberAnswer(aState.mQuarantine, aIdentity, aNow);
-  TellAnswer(aState, aIdentity, aNow, aOut);
+  SendAnswerFact(aState, aIdentity, aNow, aOut);
 }
 
-quarantine::Verdict JudgeRequest(const State& aState,
-                                 std::uint64_t aIdentity,
-                                 const std::string& aService,
-                                 Micros aNow)
+quarantine::Verdict JudgeQuarantine(const State& aState,
+                                    std::uint64_t aIdentity,
+                                    const std::string& aService,
+                                    Micros aNow)
 {
   const auto found = aState.mQuarantine.mRecords.find(aIdentity);
   if (found == aState.mQuarantine.mRecords.end()) {
@@ -226,17 +233,17 @@
   return quarantine::Judge(aState.mQuarantine,
                            aIdentity,
                            aNow,
-                           ReleasesThatRun(aState, aService, found->second));
+                           RunningReleases(aState, aService, found->second));
 }
 
-void NoteTried(State& aState,
-               Micros aNow,
-               std::uint64_t aIdentity,
-               Effects& aOut)
+void RenewQuarantine(State& aState,
+                     Micros aNow,
+                     std::uint64_t aIdentity,
+                     Effects& aOut)
 {
   for (const quarantine::Crash& crash :
        quarantine::Renew(aState.mQuarantine, aIdentity, aNow)) {
-    aOut.emplace_back(TellFleet{ ItemOf(aIdentity, crash) });
+    aOut.emplace_back(SendFact{ CrashFact(aIdentity, crash) });
   }
 }
 
@@ -251,17 +258,17 @@
   }
   quarantine::NoteRelease(aState.mQuarantine, aIdentity, aNow);
   Log(aOut, 2, "event=request_released identity=" + Hexadecimal(aIdentity));
-  aOut.emplace_back(TellFleet{ { gossip::Kind::RequestAnswered,
-                                 Hexadecimal(aIdentity),
-                                 kReleased,
-                                 aNow } });
+  aOut.emplace_back(SendFact{ { gossip::Kind::RequestAnswered,
+                                Hexadecimal(aIdentity),
+                                kReleasedValue,
+                                aNow } });
   return true;
 }
 
-void TakeCrashFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut)
+void HandleCrashFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut)
 {
   if (aItem.mKey.size() <= kIdentityDigits) {
     return;
@@ -275,14 +282,14 @@
     aOut);
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, identity);
   if (answered != 0) {
-    TellAnswer(aState, identity, answered, aOut);
+    SendAnswerFact(aState, identity, answered, aOut);
   }
 }
 
-void TakeAnswerFact(State& aState, const gossip::Item& aItem)
+void HandleAnswerFact(State& aState, const gossip::Item& aItem)
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
-  if (aItem.mValue == kReleased) {
+  if (aItem.mValue == kReleasedValue) {
     quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mSeenAt);
   } else {
     quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mSeenAt);
--- a/src/dispatch/ends.cpp
+++ b/src/dispatch/ends.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-// What follows from the end of an attempt.
+// Handles the end of an attempt.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Smoothing of what is learnt of a route.
+/// Smoothing gain of a route's statistics.
 constexpr double kWorkGain = 0.08;
-/// Most that one answer counts for, over the usual time.
-constexpr double kMostRatio = 3;
+/// Upper bound on one answer's time relative to the usual time.
+constexpr double kMaxLatencyRatio = 3;
 constexpr int kServerError = 500;
 constexpr int kNotSuccess = 300;
 
@@ -33,56 +33,58 @@
                            aRequest.mAttempts.end());
 }
 
-void LearnWork(RouteStatistics& aLearnt, double aWork)
+void LearnWork(RouteStatistics& aStatistics, double aWork)
 {
-  const double gain = std::max(kWorkGain, 1.0 / ++aLearnt.mAnswers);
-  aLearnt.mWork += gain * (aWork - aLearnt.mWork);
+  const double gain = std::max(kWorkGain, 1.0 / ++aStatistics.mAnswers);
+  aStatistics.mWork += gain * (aWork - aStatistics.mWork);
 }
 
-// What a target was like when the request came tells how long its work takes
-// elsewhere. Each answer counts for the work, by what is known of the service,
-// and for what is known of the service, by the work.
+// Uses the target's state when the request was sent to learn the service time
+// at a target of usual speed. Each answer updates the service time using what
+// is known of the service, and the service's statistics using the known service
+// time.
 void Learn(State& aState,
            const Request& aRequest,
            const Attempt& aAttempt,
            const AttemptEnd& aEnd,
            Micros aNow)
 {
-  // An answer that is taken after its deadline waited here: this host stood
-  // still.
+  // An answer processed after its deadline was delayed in this host, because
+  // the process was stalled.
   if (aAttempt.mSlowness > kUsualSlowness || aEnd.mStatus >= kNotSuccess ||
       aNow > aRequest.mDeadline) {
     return;
   }
   Service& service = aState.mServices[aRequest.mService];
-  RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
-  learnt.mLearntAt = aNow;
-  const double took = static_cast<double>(aNow - aAttempt.mSentAt);
+  RouteStatistics& statistics = aState.mStatistics[aRequest.mRoute];
+  statistics.mLearntAt = aNow;
+  const double elapsed = static_cast<double>(aNow - aAttempt.mSentAt);
   const int occupancy = aAttempt.mOccupancy;
   const int slots = aAttempt.mSlots;
-  const double stretch = StretchAt(service.mCurve, occupancy, slots) *
-                         (aAttempt.mCold ? service.mColdStretch : 1);
-  if (learnt.mWork <= 0) {
-    LearnWork(learnt, took / stretch);
-    learnt.mAnswerBytes = static_cast<double>(aEnd.mBytes);
+  const double factor = LatencyFactorAt(service.mCurve, occupancy, slots) *
+                        (aAttempt.mCold ? service.mColdLatencyFactor : 1);
+  if (statistics.mWork <= 0) {
+    LearnWork(statistics, elapsed / factor);
+    statistics.mAnswerBytes = static_cast<double>(aEnd.mBytes);
     return;
   }
-  learnt.mAnswerBytes +=
-    kWorkGain * (static_cast<double>(aEnd.mBytes) - learnt.mAnswerBytes);
-  // A single straggler must not double an estimate.
-  const double ratio = std::min(took / learnt.mWork, kMostRatio);
-  const bool told =
-    aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kFreshReport;
+  statistics.mAnswerBytes +=
+    kWorkGain * (static_cast<double>(aEnd.mBytes) - statistics.mAnswerBytes);
+  // A single slow answer must not double an estimate.
+  const double ratio = std::min(elapsed / statistics.mWork, kMaxLatencyRatio);
+  const bool freshReport =
+    aAttempt.mReportAge >= 0 && aAttempt.mReportAge <= kMaxReportAge;
   if (aAttempt.mCold) {
-    service.mColdStretch += kWorkGain * (ratio - service.mColdStretch);
-    service.mColdStretch = std::max(1.0, service.mColdStretch);
+    service.mColdLatencyFactor +=
+      kWorkGain * (ratio - service.mColdLatencyFactor);
+    service.mColdLatencyFactor = std::max(1.0, service.mColdLatencyFactor);
     return;
   }
-  if (told && occupancy > 0 && occupancy < slots) {
-    LearnStretch(service.mCurve, occupancy, slots, ratio);
+  if (freshReport && occupancy > 0 && occupancy < slots) {
+    LearnLatencyFactor(service.mCurve, occupancy, slots, ratio);
   }
   if (occupancy < slots) {
-    LearnWork(learnt, ratio * learnt.mWork / stretch);
+    LearnWork(statistics, ratio * statistics.mWork / factor);
   }
 }
 
@@ -101,37 +103,37 @@
   aOut.emplace_back(DeliverAnswer{ aRequest.mId, aAttempt.mNumber });
   RemoveAttempt(aRequest, aAttempt.mNumber);
   CancelAttempts(aState, aRequest, aOut);
-  Forget(aState, aRequest.mId);
+  RemoveRequest(aState, aRequest.mId);
 }
 
-// True when the end says for certain that the target did not run the request.
+// True when it is certain that the target did not run the request.
 bool DidNotRun(const AttemptEnd& aEnd)
 {
   return aEnd.mKind == EndKind::NotSent ||
          (aEnd.mKind == EndKind::Answered && aEnd.mNotRun);
 }
 
-// What stands in for an answer of the target may name none: only a success
-// tells that there is no limit.
-void NoteLimit(State& aState,
-               Micros aNow,
-               Target& aTarget,
-               const Attempt& aAttempt,
-               const AttemptEnd& aEnd,
-               Effects& aOut)
+// Only a success without a limit shows that there is no limit: an error
+// generated on behalf of the target need not state one.
+void UpdateLimit(State& aState,
+                 Micros aNow,
+                 Target& aTarget,
+                 const Attempt& aAttempt,
+                 const AttemptEnd& aEnd,
+                 Effects& aOut)
 {
-  if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
-    TakeLimit(aState, aNow, aTarget, aEnd.mLimit, aOut);
+  if (aEnd.mLimit.mKind != StatedLimit::Kind::Absent) {
+    HandleStatedLimit(aState, aNow, aTarget, aEnd.mLimit, aOut);
   } else if (!aEnd.mNotRun && aEnd.mStatus < kNotSuccess) {
-    TakeNoLimit(aState, aNow, aTarget, aAttempt.mSentAt, aOut);
+    HandleAbsentLimit(aState, aNow, aTarget, aAttempt.mSentAt, aOut);
   }
 }
 
-void JudgeTarget(State& aState,
-                 Micros aNow,
-                 const Attempt& aAttempt,
-                 const AttemptEnd& aEnd,
-                 Effects& aOut)
+void UpdateTarget(State& aState,
+                  Micros aNow,
+                  const Attempt& aAttempt,
+                  const AttemptEnd& aEnd,
+                  Effects& aOut)
 {
   const auto found = aState.mTargets.find(aAttempt.mTarget);
   if (found == aState.mTargets.end()) {
@@ -141,31 +143,31 @@
   target.mRunning = std::max(0, target.mRunning - 1);
   if (aEnd.mReport) {
     Service& service = aState.mServices[target.mService];
-    TakeReport(service, target, *aEnd.mReport, aNow);
-    target.mSentSince = 0;
+    RecordReport(service, target, *aEnd.mReport, aNow);
+    target.mSentSinceReport = 0;
   } else {
-    target.mSentSince = std::max(0, target.mSentSince - 1);
+    target.mSentSinceReport = std::max(0, target.mSentSinceReport - 1);
   }
   if (aEnd.mKind == EndKind::Answered && !aEnd.mMisdirected) {
-    NoteLimit(aState, aNow, target, aAttempt, aEnd, aOut);
+    UpdateLimit(aState, aNow, target, aAttempt, aEnd, aOut);
   }
   if (aEnd.mMisdirected) {
-    NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "address_taken", aOut);
+    HandleTargetEnd(aState, aNow, target, aOut);
+    MarkUnavailable(aState, aNow, target, "address_taken", aOut);
     return;
   }
   if (aEnd.mKind == EndKind::NotSent) {
     if (aEnd.mRefused) {
-      NoteTargetEnded(aState, aNow, target, aOut);
+      HandleTargetEnd(aState, aNow, target, aOut);
     }
-    Suspect(aState, aNow, target, "unreachable", aOut);
+    MarkUnavailable(aState, aNow, target, "unreachable", aOut);
     return;
   }
   const bool failed = aEnd.mKind == EndKind::Broken ||
                       (aEnd.mStatus >= kServerError && !aEnd.mNotRun);
-  NoteResult(target, failed, aNow);
+  RecordResult(target, failed, aNow);
   if (!failed) {
-    target.mUnreached = 0;
+    target.mConnectFailures = 0;
   }
 }
 
@@ -180,13 +182,16 @@
       "event=detached_ended status=" + std::to_string(aEnd.mStatus) +
         Describe(aState, aRequest, aNow));
   if (aRequest.mAttempts.empty()) {
-    Forget(aState, aRequest.mId);
+    RemoveRequest(aState, aRequest.mId);
   }
 }
 
 } // namespace
 
-void TakeEnd(State& aState, Micros aNow, const AttemptEnd& aEnd, Effects& aOut)
+void HandleAttemptEnd(State& aState,
+                      Micros aNow,
+                      const AttemptEnd& aEnd,
+                      Effects& aOut)
 {
   const auto found = aState.mRequests.find(aEnd.mRequest);
   Attempt* known = found == aState.mRequests.end()
@@ -198,13 +203,13 @@
   }
   Request& request = found->second;
   const Attempt attempt = *known;
-  JudgeTarget(aState, aNow, attempt, aEnd, aOut);
+  UpdateTarget(aState, aNow, attempt, aEnd, aOut);
   aState.mLargeBytes -= attempt.mLargeBytes;
   RemoveAttempt(request, attempt.mNumber);
   if (aEnd.mKind == EndKind::Broken) {
-    NoteBroken(aState, aNow, request, attempt, aEnd, aOut);
+    HandleBrokenAnswer(aState, aNow, request, attempt, aEnd, aOut);
   } else if (!DidNotRun(aEnd) && aEnd.mStatus < kServerError) {
-    NoteAnswered(aState, aNow, request.mIdentity, aOut);
+    RecordAnswer(aState, aNow, request.mIdentity, aOut);
   }
   if (request.mDetached) {
     EndDetached(aState, aNow, request, aEnd, aOut);
@@ -213,34 +218,34 @@
   const std::string service = request.mService;
   if (aEnd.mKind == EndKind::NotSent) {
     --request.mSent;
-    ++request.mUnreached;
+    ++request.mConnectFailures;
   }
   if (DidNotRun(aEnd)) {
-    TryElsewhere(aState,
-                 aNow,
-                 request,
-                 aEnd.mReason.empty() ? "target_refused" : aEnd.mReason,
-                 aOut);
+    RetryElsewhere(aState,
+                   aNow,
+                   request,
+                   aEnd.mReason.empty() ? "target_refused" : aEnd.mReason,
+                   aOut);
   } else {
     request.mMayHaveRun = true;
     const bool failed =
       aEnd.mKind == EndKind::Broken || aEnd.mStatus >= kServerError;
-    const bool again =
+    const bool retry =
       failed && policy::IsIdempotent(request.mKind) &&
       (request.mSent < request.mMaxAttempts || !request.mAttempts.empty());
-    if (!failed || (aEnd.mKind == EndKind::Answered && !again)) {
+    if (!failed || (aEnd.mKind == EndKind::Answered && !retry)) {
       Learn(aState, request, attempt, aEnd, aNow);
       Deliver(aState, aNow, request, attempt, aEnd, aOut);
     } else {
-      TryElsewhere(aState,
-                   aNow,
-                   request,
-                   aEnd.mKind == EndKind::Broken ? "answer_broken"
-                                                 : "target_failed",
-                   aOut);
+      RetryElsewhere(aState,
+                     aNow,
+                     request,
+                     aEnd.mKind == EndKind::Broken ? "answer_broken"
+                                                   : "target_failed",
+                     aOut);
     }
   }
-  Pump(aState, aNow, service, aOut);
+  ServeQueue(aState, aNow, service, aOut);
 }
 
 } // namespace geraniumpond::dispatch
--- a/src/dispatch/extra.cpp
+++ b/src/dispatch/extra.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Parts of a window that are counted apart; one more than fits is kept, so
-/// that every span of the window's length is bounded.
+/// Slices per window. One more slice than fits is kept, so that every interval
+/// of the window's length is bounded.
 constexpr int kSlices = 10;
-/// Share of the bound that is spent: hosts know each other's number only as of
-/// their last report, and requests are unevenly spread.
-constexpr double kSpent = 0.7;
+/// Share of the bound that is spent: hosts know each other's request counts
+/// only as of their last report, and requests are unevenly distributed.
+constexpr double kSpentShare = 0.7;
 
 ExtraWindow::Slice& Current(ExtraWindow& aWindow, Micros aLength, Micros aNow)
 {
@@ -46,7 +46,7 @@
   }
   const double floor =
     aState.mKnowsHosts ? bounds.mExtraFloor / std::max(1, aState.mHosts) : 0;
-  const double allowed = kSpent * (bounds.mExtraRatio * requests + floor);
+  const double allowed = kSpentShare * (bounds.mExtraRatio * requests + floor);
   if (extra + 1 > allowed) {
     return false;
   }
--- a/src/dispatch/facts.cpp
+++ b/src/dispatch/facts.cpp
@@ -1,22 +1,22 @@
 #include "internal.h"
 
-// What other hosts tell of requests and targets.
+// Dispatches facts about requests and targets received from other hosts.
 namespace geraniumpond::dispatch {
 
-void TakeGossip(State& aState,
+void HandleFact(State& aState,
                 Micros aNow,
                 const gossip::Item& aItem,
                 Effects& aOut)
 {
   switch (aItem.mKind) {
     case gossip::Kind::RequestCrash:
-      TakeCrashFact(aState, aNow, aItem, aOut);
+      HandleCrashFact(aState, aNow, aItem, aOut);
       break;
     case gossip::Kind::RequestAnswered:
-      TakeAnswerFact(aState, aItem);
+      HandleAnswerFact(aState, aItem);
       break;
     case gossip::Kind::TargetLimit:
-      TakeLimitFact(aState, aNow, aItem, aOut);
+      HandleLimitFact(aState, aNow, aItem, aOut);
       break;
   }
 }
--- a/src/dispatch/learning.cpp
+++ b/src/dispatch/learning.cpp
@@ -3,39 +3,42 @@
 #include <algorithm>
 #include <cmath>
 
-// What a host learns of a service's targets from their answers and reports. No
-// figure of a deployment stands here: start values count until some twenty
-// answers have come, and what has changed is left behind within seconds.
+// Statistics that a host learns of a service's targets from their answers and
+// reports. Nothing is tuned to one deployment: initial values matter until
+// about twenty answers have arrived, and old observations lose their weight
+// within seconds.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Smoothing of what is learnt: some twenty samples.
+/// Smoothing gain: about twenty samples.
 constexpr double kLearnGain = 0.05;
-/// A single straggler must not move an estimate by more than this factor.
-constexpr double kMostStretch = 4;
-/// A limit below all slots must do this much more work: less is within the
-/// error of what was learnt from twenty answers.
-constexpr double kClearGain = 1.05;
-/// What filling a target is taken for before answers tell: between targets that
-/// do not care and such that lose by it. It counts as much as so many answers.
-constexpr double kFirstStretch = 1.3;
-constexpr int kFirstWeight = 2;
-/// A report this much off the last one tells of another speed.
-constexpr double kOtherSpeed = 1.2;
-/// Speeds are assumed to hold for this time until changes were seen; a host
-/// sees some hundred pairs of reports in a second.
-constexpr double kFirstSpeedTime = 400.0 * kMillisecond;
+/// A single slow answer must not move an estimate by more than this factor.
+constexpr double kMaxLatencyFactor = 4;
+/// A concurrency below all slots must give this much more throughput: a smaller
+/// gain is within the error of an estimate from twenty answers.
+constexpr double kMinThroughputGain = 1.05;
+/// Latency factor assumed for a full target before answers are known: between
+/// targets that are unaffected by load and those that slow down. It weighs as
+/// much as this many answers.
+constexpr double kInitialLatencyFactor = 1.3;
+constexpr int kInitialWeight = 2;
+/// Ratio of two reported slownesses from which on the speed counts as changed.
+constexpr double kSpeedChangeRatio = 1.2;
+/// Speeds are assumed to last this long until changes are observed; a host sees
+/// about a hundred pairs of reports a second.
+constexpr double kInitialSpeedDuration = 400.0 * kMillisecond;
 /// Reports further apart may hide changes in between.
-constexpr Micros kWatchedGap = 1 * kSecond;
-/// Watched time that is kept: speeds of the last seconds count.
-constexpr double kWatchedTime = 60.0 * kSecond;
+constexpr Micros kMaxReportGap = 1 * kSecond;
+/// Observed time that is kept: speeds of the last seconds count.
+constexpr double kObservedTimeKept = 60.0 * kSecond;
 
-// The last slot is never taken for a loss before answers tell that it is one.
-double FirstStretch(int aOccupancy, int aSlots) noexcept
+// Until answers show it, using the last slot is never assumed to reduce
+// throughput.
+double InitialLatencyFactor(int aOccupancy, int aSlots) noexcept
 {
   const bool fills = aOccupancy > 0 && aOccupancy + 1 >= aSlots;
-  return fills ? std::min(kFirstStretch, 1 + 1.0 / aOccupancy) : 1;
+  return fills ? std::min(kInitialLatencyFactor, 1 + 1.0 / aOccupancy) : 1;
 }
 
 std::size_t BucketOf(int aOccupancy, int aSlots) noexcept
@@ -47,79 +50,83 @@
 
 } // namespace
 
-double StretchAt(const LoadCurve& aCurve, int aOccupancy, int aSlots) noexcept
+double LatencyFactorAt(const LoadCurve& aCurve,
+                       int aOccupancy,
+                       int aSlots) noexcept
 {
   if (aOccupancy <= 0) {
     return 1;
   }
   const std::size_t bucket = BucketOf(aOccupancy, aSlots);
-  double stretch = FirstStretch(aOccupancy, aSlots);
-  if (aCurve.mSeen[bucket] > 0) {
-    stretch = aCurve.mStretch[bucket];
+  double factor = InitialLatencyFactor(aOccupancy, aSlots);
+  if (aCurve.mSampleCount[bucket] > 0) {
+    factor = aCurve.mLatencyFactor[bucket];
   }
   for (std::size_t i = 1; i < bucket; ++i) {
-    if (aCurve.mSeen[i] > 0) {
-      stretch = std::max(stretch, aCurve.mStretch[i]);
+    if (aCurve.mSampleCount[i] > 0) {
+      factor = std::max(factor, aCurve.mLatencyFactor[i]);
     }
   }
-  return std::max(1.0, stretch);
+  return std::max(1.0, factor);
 }
 
-// The targets' own queues have no part in it: a request that waits there works
-// with all slots taken.
+// Queueing at the target is not included: a request queued there is later run
+// with all slots occupied.
 int EfficientLimit(const LoadCurve& aCurve, int aSlots) noexcept
 {
-  const double all = aSlots / StretchAt(aCurve, aSlots - 1, aSlots);
+  const double fullRate = aSlots / LatencyFactorAt(aCurve, aSlots - 1, aSlots);
   int best = aSlots;
-  double most = all * kClearGain;
+  double bestRate = fullRate * kMinThroughputGain;
   for (int limit = 1; limit < aSlots; ++limit) {
-    const double rate = limit / StretchAt(aCurve, limit - 1, aSlots);
-    if (rate > most) {
+    const double rate = limit / LatencyFactorAt(aCurve, limit - 1, aSlots);
+    if (rate > bestRate) {
       best = limit;
-      most = rate;
+      bestRate = rate;
     }
   }
   return best;
 }
 
-void LearnStretch(LoadCurve& aCurve,
-                  int aOccupancy,
-                  int aSlots,
-                  double aRatio) noexcept
+void LearnLatencyFactor(LoadCurve& aCurve,
+                        int aOccupancy,
+                        int aSlots,
+                        double aRatio) noexcept
 {
   const std::size_t bucket = BucketOf(aOccupancy, aSlots);
-  double& stretch = aCurve.mStretch[bucket];
-  int& seen = aCurve.mSeen[bucket];
+  double& factor = aCurve.mLatencyFactor[bucket];
+  int& seen = aCurve.mSampleCount[bucket];
   if (seen == 0) {
-    stretch = FirstStretch(aOccupancy, aSlots);
+    factor = InitialLatencyFactor(aOccupancy, aSlots);
   }
   ++seen;
-  const double gain = std::max(kLearnGain, 1.0 / (seen + kFirstWeight));
-  stretch += gain * (std::min(aRatio, kMostStretch) - stretch);
+  const double gain = std::max(kLearnGain, 1.0 / (seen + kInitialWeight));
+  factor += gain * (std::min(aRatio, kMaxLatencyFactor) - factor);
 }
 
-void LearnSpeed(SpeedStatistics& aLearnt,
+void LearnSpeed(SpeedStatistics& aStatistics,
                 const Report& aBefore,
                 Micros aGap,
                 const Report& aNow) noexcept
 {
-  aLearnt.mMean += kLearnGain * (aNow.mSlowness - aLearnt.mMean);
-  if (aGap <= 0 || aGap > kWatchedGap) {
+  aStatistics.mMean += kLearnGain * (aNow.mSlowness - aStatistics.mMean);
+  if (aGap <= 0 || aGap > kMaxReportGap) {
     return;
   }
   const double ratio = aNow.mSlowness / aBefore.mSlowness;
-  const bool changed = ratio > kOtherSpeed || ratio * kOtherSpeed < 1;
-  aLearnt.mWatched += static_cast<double>(aGap);
-  aLearnt.mChanges += changed ? 1 : 0;
-  if (aLearnt.mWatched > kWatchedTime) {
-    aLearnt.mWatched /= 2;
-    aLearnt.mChanges /= 2;
+  const bool changed =
+    ratio > kSpeedChangeRatio || ratio * kSpeedChangeRatio < 1;
+  aStatistics.mObservedTime += static_cast<double>(aGap);
+  aStatistics.mChanges += changed ? 1 : 0;
+  if (aStatistics.mObservedTime > kObservedTimeKept) {
+    aStatistics.mObservedTime /= 2;
+    aStatistics.mChanges /= 2;
   }
 }
 
-double SpeedTime(const SpeedStatistics& aLearnt) noexcept
+double MeanSpeedDuration(const SpeedStatistics& aStatistics) noexcept
 {
-  return (aLearnt.mWatched + kFirstSpeedTime) / (aLearnt.mChanges + 1);
+  return (aStatistics.mObservedTime + kInitialSpeedDuration) /
+         (aStatistics.mChanges + 1);
 }
 
 } // namespace geraniumpond::dispatch
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -5,15 +5,15 @@
 #include <cmath>
 #include <cstdio>
 
-// A target in need names a rate that it takes from all hosts together, in each
-// of its answers for as long as it is in need. Hosts tell each other, and
-// divide it: each way to the target goes through SendTo(), which takes of the
-// part.
+// An overloaded target states a request rate that it accepts from all hosts
+// together, in each of its answers for as long as it is overloaded. Hosts share
+// the value by gossip and divide the rate among themselves. Every request to
+// the target passes through SendTo(), which charges this host's share.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A rate that differs by less than this share is not told to other hosts.
+/// A rate that differs by less than this share is not treated as a change.
 constexpr double kSameRate = 0.05;
 
 std::string RateText(double aPerSecond)
@@ -30,12 +30,13 @@
          " part=" + RateText(aTarget.mShare.mPart);
 }
 
-void NoteHeld(Service& aService, const Target& aTarget)
+void UpdateLimitedTargets(Service& aService, const Target& aTarget)
 {
-  auto& held = aService.mHeld;
-  held.erase(std::remove(held.begin(), held.end(), aTarget.mId), held.end());
+  auto& limited = aService.mLimitedTargets;
+  limited.erase(std::remove(limited.begin(), limited.end(), aTarget.mId),
+                limited.end());
   if (aTarget.mLimit && aTarget.mShare.mPart > 0) {
-    held.push_back(aTarget.mId);
+    limited.push_back(aTarget.mId);
   }
 }
 
@@ -43,11 +44,11 @@
 {
   if (!aTarget.mLimit) {
     aTarget.mShare = rate_share::Share();
-  } else if (!aState.mSharers.mDigests.empty()) {
+  } else if (!aState.mLimitHosts.mDigests.empty()) {
     rate_share::Divide(
-      aTarget.mShare, aState.mSharers, aTarget.mId, *aTarget.mLimit, aNow);
+      aTarget.mShare, aState.mLimitHosts, aTarget.mId, *aTarget.mLimit, aNow);
   }
-  NoteHeld(aState.mServices[aTarget.mService], aTarget);
+  UpdateLimitedTargets(aState.mServices[aTarget.mService], aTarget);
 }
 
 void SetLimit(State& aState,
@@ -68,13 +69,12 @@
   ++aState.mCounters[ended ? "limits_ended" : "limits_named"];
 }
 
-void TellLimit(const Target& aTarget, Effects& aOut)
+void SendLimitFact(const Target& aTarget, Effects& aOut)
 {
-  aOut.emplace_back(
-    TellFleet{ { gossip::Kind::TargetLimit,
-                 aTarget.mId,
-                 aTarget.mLimit ? RateText(*aTarget.mLimit) : "",
-                 aTarget.mLimitAt } });
+  aOut.emplace_back(SendFact{ { gossip::Kind::TargetLimit,
+                                aTarget.mId,
+                                aTarget.mLimit ? RateText(*aTarget.mLimit) : "",
+                                aTarget.mLimitAt } });
 }
 
 bool IsAboutTheSame(const Target& aTarget, double aPerSecond)
@@ -85,42 +85,43 @@
 
 } // namespace
 
-void TakeLimit(State& aState,
-               Micros aNow,
-               Target& aTarget,
-               const LimitWord& aWord,
-               Effects& aOut)
+void HandleStatedLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       const StatedLimit& aLimit,
+                       Effects& aOut)
 {
-  if (aWord.mKind == LimitWord::Kind::Unreadable) {
+  if (aLimit.mKind == StatedLimit::Kind::Invalid) {
     ++aState.mCounters["limits_unreadable"];
     Log(aOut, 2, "event=limit_unreadable target=" + aTarget.mId);
     return;
   }
   aTarget.mLimitAt = aNow;
-  if (!IsAboutTheSame(aTarget, aWord.mPerSecond)) {
-    SetLimit(aState, aNow, aTarget, aWord.mPerSecond, aOut);
+  if (!IsAboutTheSame(aTarget, aLimit.mPerSecond)) {
+    SetLimit(aState, aNow, aTarget, aLimit.mPerSecond, aOut);
   }
-  TellLimit(aTarget, aOut);
+  SendLimitFact(aTarget, aOut);
 }
 
-// An answer to what was sent before the limit was named may be older.
-void TakeNoLimit(State& aState,
-                 Micros aNow,
-                 Target& aTarget,
-                 Micros aSentAt,
-                 Effects& aOut)
+// An answer to a request that was sent before the limit was stated may predate
+// the limit.
+void HandleAbsentLimit(State& aState,
+                       Micros aNow,
+                       Target& aTarget,
+                       Micros aSentAt,
+                       Effects& aOut)
 {
   if (aTarget.mLimit && aSentAt > aTarget.mLimitAt) {
     aTarget.mLimitAt = aNow;
     SetLimit(aState, aNow, aTarget, std::nullopt, aOut);
-    TellLimit(aTarget, aOut);
+    SendLimitFact(aTarget, aOut);
   }
 }
 
-void TakeLimitFact(State& aState,
-                   Micros aNow,
-                   const gossip::Item& aItem,
-                   Effects& aOut)
+void HandleLimitFact(State& aState,
+                     Micros aNow,
+                     const gossip::Item& aItem,
+                     Effects& aOut)
 {
   const auto found = aState.mTargets.find(aItem.mKey);
   if (found == aState.mTargets.end()) {
@@ -130,40 +131,40 @@
   Target& target = found->second;
   const char* end = aItem.mValue.data() + aItem.mValue.size();
   double perSecond = 0;
-  const bool named =
+  const bool stated =
     std::from_chars(aItem.mValue.data(), end, perSecond).ec == std::errc();
   if (aItem.mSeenAt <= target.mLimitAt) {
     return;
   }
   target.mLimitAt = aItem.mSeenAt;
-  if (named && !IsAboutTheSame(target, perSecond)) {
+  if (stated && !IsAboutTheSame(target, perSecond)) {
     SetLimit(aState, aNow, target, perSecond, aOut);
-  } else if (!named && target.mLimit) {
+  } else if (!stated && target.mLimit) {
     SetLimit(aState, aNow, target, std::nullopt, aOut);
   }
 }
 
-void TakeEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
+void ApplyEarlyLimit(State& aState, Micros aNow, Target& aTarget, Effects& aOut)
 {
   const auto found = aState.mEarlyLimits.find(aTarget.mId);
   if (found != aState.mEarlyLimits.end()) {
     const gossip::Item item = std::move(found->second);
     aState.mEarlyLimits.erase(found);
-    TakeLimitFact(aState, aNow, item, aOut);
+    HandleLimitFact(aState, aNow, item, aOut);
   }
 }
 
-bool HasRoomInLimit(const Target& aTarget, Micros aNow) noexcept
+bool IsWithinLimit(const Target& aTarget, Micros aNow) noexcept
 {
   return !aTarget.mLimit || rate_share::HasRoom(aTarget.mShare, aNow);
 }
 
-bool MayEverTake(const Target& aTarget) noexcept
+bool HasLimitShare(const Target& aTarget) noexcept
 {
   return !aTarget.mLimit || aTarget.mShare.mPart > 0;
 }
 
-bool NeedsSharers(const State& aState) noexcept
+bool NeedsLimitHosts(const State& aState) noexcept
 {
   return !aState.mQuarantine.mRecords.empty() || HasLimits(aState);
 }
@@ -176,9 +177,9 @@
     });
 }
 
-void SetSharers(State& aState, Micros aNow, rate_share::Members aSharers)
+void SetLimitHosts(State& aState, Micros aNow, rate_share::Members aHosts)
 {
-  aState.mSharers = std::move(aSharers);
+  aState.mLimitHosts = std::move(aHosts);
   for (auto& [id, target] : aState.mTargets) {
     if (target.mLimit) {
       DivideLimit(aState, aNow, target);
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// After this many times the expected time a request's target is asked how it
-/// is: about one in six takes so long by chance, and asking costs little.
-constexpr double kSecondLook = 1.25;
+/// A hedge is considered after this many times the expected time: about one in
+/// six requests takes that long by chance, and a probe is cheap.
+constexpr double kHedgeDelayFactor = 1.25;
 constexpr Micros kHedgeMin = 30 * kMillisecond;
-/// Targets that could not be reached before a request is given up.
-constexpr int kMaxUnreached = 4;
-/// An estimate of the work that refuses all requests counts for this long.
-constexpr Micros kWorkTrusted = 1 * kSecond;
-/// Smoothing of the pace of dispatches.
+/// Connection failures after which a request is given up.
+constexpr int kMaxConnectFailures = 4;
+/// Lifetime of a service-time estimate that causes all requests to be refused.
+constexpr Micros kEstimateLifetime = 1 * kSecond;
+/// Smoothing gain of the interval between dispatches.
 constexpr double kIntervalGain = 0.2;
 constexpr int kUnavailable = 503;
 constexpr int kBadGateway = 502;
@@ -35,8 +35,9 @@
   return " target=" + aAttempt.mTarget + load;
 }
 
-// The pace of dispatches tells how fast a queue moves only while there is one.
-void NoteDispatch(Service& aService, Micros aNow)
+// The interval between dispatches reflects the queue's speed only while
+// requests are queued.
+void RecordDispatch(Service& aService, Micros aNow)
 {
   const bool busy = !aService.mWaiting.empty();
   if (busy && aService.mWasBusy) {
@@ -64,23 +65,26 @@
   for (const Attempt& attempt : aRequest.mAttempts) {
     const auto target = aState.mTargets.find(attempt.mTarget);
     if (target != aState.mTargets.end()) {
-      NoteResult(target->second, true, aNow);
+      RecordResult(target->second, true, aNow);
     }
   }
   Refuse(aState, aNow, aRequest.mId, kGatewayTimeout, 0, "deadline", aOut);
 }
 
-// An estimate that leaves no request enough time lets none through that could
-// correct it: where no answer has confirmed it for a while, it is learnt anew.
-void ForgetHopelessWork(State& aState, Micros aNow, const Request& aRequest)
+// A service-time estimate that exceeds every deadline lets no request through
+// that could correct it. It is reset when no answer has confirmed it for
+// kEstimateLifetime.
+void ResetUnmeetableEstimate(State& aState,
+                             Micros aNow,
+                             const Request& aRequest)
 {
-  RouteStatistics& learnt = aState.mStatistics[aRequest.mRoute];
+  RouteStatistics& statistics = aState.mStatistics[aRequest.mRoute];
   const bool isFirstTry = aRequest.mObjectiveAt > aNow;
-  const auto work = static_cast<Micros>(learnt.mWork);
+  const auto work = static_cast<Micros>(statistics.mWork);
   if (isFirstTry && aNow + work > aRequest.mDeadline &&
-      aNow - learnt.mLearntAt > kWorkTrusted) {
-    learnt.mWork = 0;
-    learnt.mAnswers = 0;
+      aNow - statistics.mLearntAt > kEstimateLifetime) {
+    statistics.mWork = 0;
+    statistics.mAnswers = 0;
   }
 }
 
@@ -130,8 +134,8 @@
 {
   Micros next = aRequest.mDeadline;
   if (aRequest.mWaiting) {
-    next =
-      std::min(next, std::max(aRequest.mAskedUntil, aRequest.mLookAgainAt));
+    next = std::min(
+      next, std::max(aRequest.mProbesAwaitedUntil, aRequest.mRecheckAt));
   }
   if (aRequest.mHedgeAt != 0 && !aRequest.mHedging) {
     next = std::min(next, aRequest.mHedgeAt);
@@ -144,7 +148,7 @@
   aState.mTimers.emplace(next, aRequest.mId);
 }
 
-void Forget(State& aState, std::uint64_t aRequest)
+void RemoveRequest(State& aState, std::uint64_t aRequest)
 {
   const auto found = aState.mRequests.find(aRequest);
   if (found == aState.mRequests.end()) {
@@ -188,8 +192,8 @@
         " retry_after_ms=" + Milliseconds(aRetryAfter));
   ++aState.mCounters["replies_" + std::to_string(aStatus) + "_" + aReason];
   aOut.emplace_back(ReplyToClient{ aRequest, aStatus, aRetryAfter, aReason });
-  // What cannot be repeated runs to its end: a broken connection would leave
-  // its target with work that nobody can tell the result of.
+  // A non-idempotent attempt runs to its end: closing its connection would
+  // leave the target with work whose result is never known.
   if (!policy::IsIdempotent(request.mKind) && !request.mAttempts.empty()) {
     StopWaiting(aState, request);
     request.mDetached = true;
@@ -197,7 +201,7 @@
     return;
   }
   CancelAttempts(aState, request, aOut);
-  Forget(aState, aRequest);
+  RemoveRequest(aState, aRequest);
 }
 
 void SendTo(State& aState,
@@ -215,7 +219,7 @@
   attempt.mSlowness = aTarget.mReport ? aTarget.mReport->mSlowness : 0;
   attempt.mOccupancy = Occupancy(aTarget, aNow);
   attempt.mSlots = Slots(aTarget);
-  attempt.mCold = aNow < aTarget.mWarmAt;
+  attempt.mCold = aNow < aTarget.mWarmUpEnd;
   attempt.mReportAge = aTarget.mReport ? aNow - aTarget.mReportAt : -1;
   attempt.mLargeBytes = LargeBytes(aState, need);
   aState.mLargeBytes += attempt.mLargeBytes;
@@ -223,17 +227,17 @@
     rate_share::Take(aTarget.mShare, aNow);
   }
   ++aTarget.mRunning;
-  ++aTarget.mSentSince;
+  ++aTarget.mSentSinceReport;
   ++aRequest.mSent;
   aRequest.mTried.insert(aTarget.mId);
   aRequest.mHedging = false;
   const bool idempotent = policy::IsIdempotent(aRequest.mKind);
-  const auto patience =
-    static_cast<Micros>(kSecondLook * static_cast<double>(attempt.mExpected));
+  const auto patience = static_cast<Micros>(
+    kHedgeDelayFactor * static_cast<double>(attempt.mExpected));
   aRequest.mHedgeAt = idempotent && aRequest.mSent < aRequest.mMaxAttempts
                         ? aNow + std::max(kHedgeMin, patience)
                         : 0;
-  NoteDispatch(aState.mServices[aRequest.mService], aNow);
+  RecordDispatch(aState.mServices[aRequest.mService], aNow);
   Log(aOut,
       1,
       "event=sent" + Describe(aState, aRequest, aNow) + Describe(attempt));
@@ -248,22 +252,22 @@
   SetTimer(aState, aRequest);
 }
 
-void TryElsewhere(State& aState,
-                  Micros aNow,
-                  Request& aRequest,
-                  const std::string& aWhy,
-                  Effects& aOut)
+void RetryElsewhere(State& aState,
+                    Micros aNow,
+                    Request& aRequest,
+                    const std::string& aWhy,
+                    Effects& aOut)
 {
   if (!aRequest.mAttempts.empty()) {
     return;
   }
   const bool repeatable =
     policy::IsIdempotent(aRequest.mKind) || !aRequest.mMayHaveRun;
-  const bool room = aRequest.mSent < aRequest.mMaxAttempts &&
-                    aRequest.mUnreached < kMaxUnreached;
+  const bool attemptsLeft = aRequest.mSent < aRequest.mMaxAttempts &&
+                            aRequest.mConnectFailures < kMaxConnectFailures;
   const Need need = NeedOf(aState, aRequest);
-  const bool time = aNow + need.mWork < aRequest.mDeadline;
-  if (!repeatable || !room || !time) {
+  const bool timeLeft = aNow + need.mWork < aRequest.mDeadline;
+  if (!repeatable || !attemptsLeft || !timeLeft) {
     Refuse(aState,
            aNow,
            aRequest.mId,
@@ -282,7 +286,7 @@
     StartWaiting(aState, aNow, aRequest, aOut);
   }
   aRequest.mHedging = false;
-  Pump(aState, aNow, aRequest.mService, aOut);
+  ServeQueue(aState, aNow, aRequest.mService, aOut);
 }
 
 void RefuseArrival(State& aState,
@@ -303,11 +307,14 @@
     ReplyToClient{ aArrival.mId, aStatus, aRetryAfter, aReason });
 }
 
-void Arrive(State& aState, Micros aNow, const Arrival& aArrival, Effects& aOut)
+void HandleArrival(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut)
 {
   ++aState.mCounters["requests"];
   if (!aState.mPolicy) {
-    HoldUnrouted(aState, aNow, aArrival, aOut);
+    QueueUnrouted(aState, aNow, aArrival, aOut);
     return;
   }
   Admit(aState, aNow, aNow, aArrival, aOut);
@@ -330,7 +337,7 @@
   request.mClientRequestId = aArrival.mClientRequestId;
   request.mIdentity = IdentityOf(aArrival);
   request.mRoute = route->mName;
-  request.mService = policy::PickBackend(*route, NextPoint(aState));
+  request.mService = policy::PickBackend(*route, NextUniform(aState));
   request.mKind = route->mKind;
   request.mPriority = route->mPriority;
   request.mMaxAttempts = route->mAttempts;
@@ -342,9 +349,9 @@
       std::min(request.mDeadline, aArrivedAt + aArrival.mPatience);
   }
   PatienceStatistics& patience = aState.mStatistics[route->mName].mPatience;
-  if (IsReturn(patience, aArrival.mPatience, route->mObjective)) {
-    // Its objective passed before it came: it must not take the room of those
-    // that can be in time.
+  if (IsClientRetry(patience, aArrival.mPatience, route->mObjective)) {
+    // Its latency objective passed before this try: it must not take capacity
+    // from requests that can still be on time.
     request.mObjectiveAt = aArrivedAt;
     ++aState.mCounters["returns_seen"];
   }
@@ -357,14 +364,13 @@
     return;
   }
   const quarantine::Verdict verdict =
-    JudgeRequest(aState, request.mIdentity, request.mService, aNow);
-  const bool elsewhere =
+    JudgeQuarantine(aState, request.mIdentity, request.mService, aNow);
+  const bool assignedElsewhere =
     verdict == quarantine::Verdict::OnTrial &&
-    !rate_share::IsFirst(aState.mSharers, Hexadecimal(request.mIdentity));
-  if (verdict == quarantine::Verdict::Quarantined || elsewhere) {
-    // It will not be served in its client's time: nothing is said of coming
-    // back.
-    NoteTried(aState, aNow, request.mIdentity, aOut);
+    !rate_share::IsFirst(aState.mLimitHosts, Hexadecimal(request.mIdentity));
+  if (verdict == quarantine::Verdict::Quarantined || assignedElsewhere) {
+    // The quarantine outlasts the client's timeout, so no Retry-After is given.
+    RenewQuarantine(aState, aNow, request.mIdentity, aOut);
     RefuseArrival(aState, aArrival, kUnavailable, 0, "quarantined", aOut);
     return;
   }
@@ -373,7 +379,7 @@
   }
   const Micros wait = ExpectedWait(service, request);
   Request& added = aState.mRequests[request.mId] = std::move(request);
-  ForgetHopelessWork(aState, aNow, added);
+  ResetUnmeetableEstimate(aState, aNow, added);
   if (aNow + wait + NeedOf(aState, added).mWork > added.mDeadline) {
     Refuse(aState,
            aNow,
@@ -385,13 +391,13 @@
     return;
   }
   StartWaiting(aState, aNow, added, aOut);
-  Pump(aState, aNow, added.mService, aOut);
+  ServeQueue(aState, aNow, added.mService, aOut);
 }
 
-void ClientLeft(State& aState,
-                Micros aNow,
-                std::uint64_t aRequest,
-                Effects& aOut)
+void HandleClientDisconnect(State& aState,
+                            Micros aNow,
+                            std::uint64_t aRequest,
+                            Effects& aOut)
 {
   aState.mUnrouted.erase(aRequest);
   const auto found = aState.mRequests.find(aRequest);
@@ -411,10 +417,13 @@
     return;
   }
   CancelAttempts(aState, request, aOut);
-  Forget(aState, aRequest);
+  RemoveRequest(aState, aRequest);
 }
 
-void Fire(State& aState, Micros aNow, std::uint64_t aRequest, Effects& aOut)
+void HandleTimer(State& aState,
+                 Micros aNow,
+                 std::uint64_t aRequest,
+                 Effects& aOut)
 {
   const auto found = aState.mRequests.find(aRequest);
   if (found == aState.mRequests.end()) {
@@ -432,12 +441,12 @@
     request.mHedgeAt = 0;
     ++aState.mCounters["hedges_considered"];
     StartWaiting(aState, aNow, request, aOut);
-    AskRunning(aState, aNow, request, aOut);
+    ProbeRunningTargets(aState, aNow, request, aOut);
   }
-  Pump(aState, aNow, service, aOut);
-  const auto still = aState.mRequests.find(aRequest);
-  if (still != aState.mRequests.end() && !still->second.mDetached) {
-    SetTimer(aState, still->second);
+  ServeQueue(aState, aNow, service, aOut);
+  const auto remaining = aState.mRequests.find(aRequest);
+  if (remaining != aState.mRequests.end() && !remaining->second.mDetached) {
+    SetTimer(aState, remaining->second);
   }
 }
 
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -8,53 +8,56 @@
 
 namespace {
 
-/// Targets that are added together beyond this number share a log line.
-constexpr std::size_t kBulk = 8;
+/// Above this number, targets that are added together share one log line.
+constexpr std::size_t kMaxSeparateLogLines = 8;
 /// Share of the probe bound that is spent: hosts come and go faster than they
-/// hear of each other.
+/// learn of each other.
 constexpr double kProbeShare = 0.8;
-/// Probes that may be saved up, in seconds of the steady rate.
+/// Burst of the probe budget, in seconds of the steady rate.
 constexpr double kProbeBurstSeconds = 3;
-/// Smoothing of the share of targets with room: some ten requests' probes.
-constexpr double kRoomGain = 0.02;
-/// Newcomers are met after this pause, by hosts whose subsets hold them still:
-/// while a deployment starts, subsets change with each announcement.
-constexpr Micros kMeetPause = 2 * kSecond;
-/// A target that calls itself ill is asked again after this time.
-constexpr Micros kIllPause = 500 * kMillisecond;
+/// Smoothing gain of the share of targets with spare capacity: about the probes
+/// of ten requests.
+constexpr double kSpareCapacityGain = 0.02;
+/// Delay before a new target is probed, and then only if it is still in the
+/// subset: during a rollout subsets change with each announcement.
+constexpr Micros kNewTargetProbeDelay = 2 * kSecond;
+/// Delay before a probe that exceeded the budget is tried again.
+constexpr Micros kProbeBudgetDelay = 500 * kMillisecond;
 
-/// Targets of a service that one host keeps connections to, and how many of
-/// them lie in other data centres. Each request asks five: twice as many leave
-/// a choice when some are slow, and are still met often enough to stay
+/// Targets of a service to which one host keeps connections, and how many of
+/// them are in other data centres. Each request probes five: twice as many
+/// leave a choice when some are slow, and are still used often enough to stay
 /// connected.
-constexpr std::size_t kSubset = 12;
-constexpr std::size_t kSubsetAway = 3;
+constexpr std::size_t kSubsetSize = 12;
+constexpr std::size_t kRemoteSubsetSize = 3;
 
-// Rendezvous hashing: every target is in the subsets of about as many hosts,
-// and few subsets change when a host or a target comes or goes.
+// Rendezvous hashing: every target is in the subsets of about the same number
+// of hosts, and few subsets change when a host or target is added or removed.
 void ChooseSubset(State& aState, Service& aService)
 {
   aService.mSubset = aService.mTargets;
-  if (aService.mTargets.size() <= kSubset) {
+  if (aService.mTargets.size() <= kSubsetSize) {
     return;
   }
-  std::vector<std::pair<std::uint64_t, std::string>> near;
-  std::vector<std::pair<std::uint64_t, std::string>> away;
+  std::vector<std::pair<std::uint64_t, std::string>> local;
+  std::vector<std::pair<std::uint64_t, std::string>> remote;
   for (const std::string& id : aService.mTargets) {
-    const bool isNear = aState.mTargets[id].mDataCentre == aState.mDataCentre;
-    (isNear ? near : away).emplace_back(Hash64(aState.mHostId + id), id);
+    const bool isLocal = aState.mTargets[id].mDataCentre == aState.mDataCentre;
+    (isLocal ? local : remote).emplace_back(Hash64(aState.mHostId + id), id);
   }
-  std::sort(near.begin(), near.end());
-  std::sort(away.begin(), away.end());
-  const std::size_t nearCount = std::min(
-    near.size(),
-    std::max(kSubset - kSubsetAway, kSubset - std::min(kSubset, away.size())));
+  std::sort(local.begin(), local.end());
+  std::sort(remote.begin(), remote.end());
+  const std::size_t localCount =
+    std::min(local.size(),
+             std::max(kSubsetSize - kRemoteSubsetSize,
+                      kSubsetSize - std::min(kSubsetSize, remote.size())));
   aService.mSubset.clear();
-  for (std::size_t i = 0; i < nearCount; ++i) {
-    aService.mSubset.push_back(near[i].second);
+  for (std::size_t i = 0; i < localCount; ++i) {
+    aService.mSubset.push_back(local[i].second);
   }
-  for (std::size_t i = 0; i < away.size() && i < kSubset - nearCount; ++i) {
-    aService.mSubset.push_back(away[i].second);
+  for (std::size_t i = 0; i < remote.size() && i < kSubsetSize - localCount;
+       ++i) {
+    aService.mSubset.push_back(remote[i].second);
   }
 }
 
@@ -66,8 +69,8 @@
   budget::TokenBucket& bucket = aState.mProbeBudget;
   (void)budget::Take(bucket, aNow, 0);
   const double burst = std::max(1.0, kProbeBurstSeconds * rate);
-  // What a larger bucket can hold more is there at once: the first requests
-  // need their answers most.
+  // The tokens that a larger bucket gains are available at once: the first
+  // requests need their probes most.
   bucket.mLevel += std::max(0.0, burst - bucket.mBurst);
   bucket.mLevel = std::min(bucket.mLevel, burst);
   bucket.mPerSecond = rate;
@@ -78,7 +81,8 @@
 {
   Target& target = aState.mTargets[aId];
   Service& service = aState.mServices[target.mService];
-  for (std::vector<std::string>* list : { &service.mTargets, &service.mHeld }) {
+  for (std::vector<std::string>* list :
+       { &service.mTargets, &service.mLimitedTargets }) {
     list->erase(std::remove(list->begin(), list->end(), aId), list->end());
   }
   Log(aOut,
@@ -87,8 +91,8 @@
   aState.mTargets.erase(aId);
 }
 
-// An id may be used again by a later start; without a time of birth the id is
-// the incarnation.
+// An id may be reused by a later start of the target. Without a start time the
+// id alone identifies the incarnation.
 std::string IncarnationOf(const wire::TargetRecord& aRecord)
 {
   return aRecord.born_ms() == 0
@@ -111,7 +115,7 @@
   target.mDataCentre = aRecord.data_centre();
   target.mRelease = aRecord.release();
   target.mSlots = std::max<int>(1, static_cast<int>(aRecord.slots()));
-  target.mWarmAt =
+  target.mWarmUpEnd =
     aNow + static_cast<Micros>(aRecord.warm_up_ms()) * kMillisecond;
   Service& service = aState.mServices[aRecord.service()];
   service.mTargets.push_back(target.mId);
@@ -120,47 +124,46 @@
       "event=target_added target=" + target.mId +
         " service=" + target.mService + " address=" + target.mAddress +
         " sequence=" + std::to_string(aRecord.sequence()));
-  TakeEarlyLimit(aState, aNow, target, aOut);
+  ApplyEarlyLimit(aState, aNow, target, aOut);
 }
 
-// The first probe opens a connection and learns whether a target tells its
-// load; targets outside of the subset are met when they are needed.
-void ProbeNewcomers(State& aState, Micros aNow, const Service& aService)
+// The first probe opens a connection and learns whether a target reports its
+// load. Targets outside the subset are probed only when they are needed.
+void ScheduleFirstProbes(State& aState, Micros aNow, const Service& aService)
 {
-  // Nothing is known of a service that no policy names, its health path
-  // neither.
+  // A service that no policy names has no known health path.
   if (!aState.mPolicy || aState.mPolicy->mServices.count(aService.mName) == 0) {
     return;
   }
   for (const std::string& id : aService.mSubset) {
     Target& target = aState.mTargets[id];
     if (!target.mProbing && target.mProbeSentAt == 0 &&
-        target.mProbeAgainAt == 0) {
-      target.mProbeAgainAt = aNow + kMeetPause;
-      aState.mProbeTimers.emplace(target.mProbeAgainAt, id);
+        target.mNextProbeAt == 0) {
+      target.mNextProbeAt = aNow + kNewTargetProbeDelay;
+      aState.mProbeTimers.emplace(target.mNextProbeAt, id);
     }
   }
 }
 
-void Revive(Target& aTarget, Effects& aOut)
+void MarkAvailable(Target& aTarget, Effects& aOut)
 {
-  if (aTarget.mSuspect) {
+  if (aTarget.mUnavailable) {
     Log(aOut,
         1,
         "event=target_regained target=" + aTarget.mId +
           " service=" + aTarget.mService);
   }
-  aTarget.mSuspect = false;
-  aTarget.mUnreached = 0;
+  aTarget.mUnavailable = false;
+  aTarget.mConnectFailures = 0;
 }
 
-void FireProbe(State& aState,
-               Micros aNow,
-               const std::string& aId,
-               Effects& aOut)
+void HandleProbeTimer(State& aState,
+                      Micros aNow,
+                      const std::string& aId,
+                      Effects& aOut)
 {
   const auto found = aState.mTargets.find(aId);
-  if (found == aState.mTargets.end() || aNow < found->second.mProbeAgainAt) {
+  if (found == aState.mTargets.end() || aNow < found->second.mNextProbeAt) {
     return;
   }
   Target& target = found->second;
@@ -170,12 +173,12 @@
   const auto& subset = aState.mServices[target.mService].mSubset;
   if (target.mProbeSentAt == 0 &&
       std::find(subset.begin(), subset.end(), aId) == subset.end()) {
-    target.mProbeAgainAt = 0;
+    target.mNextProbeAt = 0;
     return;
   }
   if (!budget::Take(aState.mProbeBudget, aNow, 1)) {
-    target.mProbeAgainAt = aNow + kIllPause;
-    aState.mProbeTimers.emplace(target.mProbeAgainAt, aId);
+    target.mNextProbeAt = aNow + kProbeBudgetDelay;
+    aState.mProbeTimers.emplace(target.mNextProbeAt, aId);
     return;
   }
   Probe(aState, aNow, target, aOut);
@@ -193,12 +196,12 @@
     service.mName = name;
     service.mHealthPath = rules.mHealthPath;
   }
-  // What is known of a service without rules is its name alone.
+  // A service without rules uses the default health path.
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
       service.mHealthPath = policy::ServiceRules().mHealthPath;
     }
-    ProbeNewcomers(aState, aNow, service);
+    ScheduleFirstProbes(aState, aNow, service);
   }
   SetProbeRate(aState, aNow);
 }
@@ -208,32 +211,32 @@
                 const std::map<std::string, wire::TargetRecord>& aTargets,
                 Effects& aOut)
 {
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, target] : aState.mTargets) {
     const auto found = aTargets.find(target.mName);
     if (found == aTargets.end() || IncarnationOf(found->second) != id ||
         found->second.draining() ||
         found->second.address() != target.mAddress ||
         found->second.service() != target.mService) {
-      gone.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const std::string& id : gone) {
+  for (const std::string& id : removed) {
     RemoveTarget(aState, id, aOut);
   }
-  std::vector<const wire::TargetRecord*> fresh;
+  std::vector<const wire::TargetRecord*> added;
   for (const auto& [id, record] : aTargets) {
     if (!record.draining() &&
         aState.mTargets.count(IncarnationOf(record)) == 0) {
-      fresh.push_back(&record);
+      added.push_back(&record);
     }
   }
-  // A host that starts learns of all targets at once; one line tells of them.
-  const bool bulk = fresh.size() > kBulk;
+  // A starting host learns of all targets at once and logs them in one line.
+  const bool bulk = added.size() > kMaxSeparateLogLines;
   if (bulk) {
-    Log(aOut, 1, "event=targets_added count=" + std::to_string(fresh.size()));
+    Log(aOut, 1, "event=targets_added count=" + std::to_string(added.size()));
   }
-  for (const wire::TargetRecord* record : fresh) {
+  for (const wire::TargetRecord* record : added) {
     AddTarget(aState, aNow, *record, bulk, aOut);
   }
   for (auto& [name, service] : aState.mServices) {
@@ -241,7 +244,7 @@
       service.mHealthPath = policy::ServiceRules().mHealthPath;
     }
     ChooseSubset(aState, service);
-    ProbeNewcomers(aState, aNow, service);
+    ScheduleFirstProbes(aState, aNow, service);
   }
   SetProbeRate(aState, aNow);
 }
@@ -252,16 +255,16 @@
   SetProbeRate(aState, aNow);
 }
 
-void TakeReport(Service& aService,
-                Target& aTarget,
-                const Report& aReport,
-                Micros aNow)
+void RecordReport(Service& aService,
+                  Target& aTarget,
+                  const Report& aReport,
+                  Micros aNow)
 {
   if (aTarget.mReport) {
     const Micros gap = aNow - aTarget.mReportAt;
     LearnSpeed(aService.mSpeeds, *aTarget.mReport, gap, aReport);
   }
-  auto& reported = aService.mReported;
+  auto& reported = aService.mRecentReporters;
   if (std::find(reported.begin(), reported.end(), aTarget.mId) ==
       reported.end()) {
     reported.push_back(aTarget.mId);
@@ -270,7 +273,10 @@
   aTarget.mReportAt = aNow;
 }
 
-void TakeProbe(State& aState, Micros aNow, const ProbeEnd& aEnd, Effects& aOut)
+void HandleProbeEnd(State& aState,
+                    Micros aNow,
+                    const ProbeEnd& aEnd,
+                    Effects& aOut)
 {
   const auto found = aState.mTargets.find(aEnd.mTarget);
   if (found == aState.mTargets.end()) {
@@ -279,40 +285,44 @@
   Target& target = found->second;
   const std::string service = target.mService;
   target.mProbing = false;
-  const bool other =
+  const bool otherTarget =
     !aEnd.mAnsweredBy.empty() && aEnd.mAnsweredBy != target.mName;
   if (!aEnd.mAnswered && aEnd.mRefused) {
-    NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "probe_refused", aOut);
+    HandleTargetEnd(aState, aNow, target, aOut);
+    MarkUnavailable(aState, aNow, target, "probe_refused", aOut);
   } else if (!aEnd.mAnswered) {
-    if (!AskAboutOpenEnds(aState, aNow, target, aOut)) {
-      Suspect(aState, aNow, target, "probe_unanswered", aOut);
+    if (!ProbeAfterBrokenAnswers(aState, aNow, target, aOut)) {
+      MarkUnavailable(aState, aNow, target, "probe_unanswered", aOut);
     }
-  } else if (other) {
-    NoteTargetEnded(aState, aNow, target, aOut);
-    Suspect(aState, aNow, target, "address_taken", aOut);
+  } else if (otherTarget) {
+    HandleTargetEnd(aState, aNow, target, aOut);
+    MarkUnavailable(aState, aNow, target, "address_taken", aOut);
   } else if (!aEnd.mHealthy) {
-    Suspect(aState, aNow, target, "says_ill", aOut);
+    MarkUnavailable(aState, aNow, target, "says_ill", aOut);
   } else {
-    target.mProbeTime += (aNow - target.mProbeSentAt - target.mProbeTime) / 4;
-    Revive(target, aOut);
+    target.mProbeRoundTrip +=
+      (aNow - target.mProbeSentAt - target.mProbeRoundTrip) / 4;
+    MarkAvailable(target, aOut);
     if (aEnd.mReport) {
       Service& known = aState.mServices[service];
-      TakeReport(known, target, *aEnd.mReport, aNow);
-      const bool room = TellsOfRoom(*aEnd.mReport, known.mCurve);
-      known.mRoomShare += kRoomGain * ((room ? 1 : 0) - known.mRoomShare);
+      RecordReport(known, target, *aEnd.mReport, aNow);
+      const bool hasCapacity = ShowsSpareCapacity(*aEnd.mReport, known.mCurve);
+      known.mSpareCapacityShare +=
+        kSpareCapacityGain *
+        ((hasCapacity ? 1 : 0) - known.mSpareCapacityShare);
     } else {
-      aState.mServices[service].mTellsLoad = false;
+      aState.mServices[service].mReportsLoad = false;
     }
   }
-  if (aEnd.mAnswered && !other) {
-    // A target may name its limit to requests alone: silence says nothing.
-    if (aEnd.mLimit.mKind != LimitWord::Kind::Silent) {
-      TakeLimit(aState, aNow, target, aEnd.mLimit, aOut);
+  if (aEnd.mAnswered && !otherTarget) {
+    // A target may state its limit only in answers to requests, so a probe
+    // without a limit says nothing.
+    if (aEnd.mLimit.mKind != StatedLimit::Kind::Absent) {
+      HandleStatedLimit(aState, aNow, target, aEnd.mLimit, aOut);
     }
-    NoteTargetLives(aState, aNow, target, aOut);
+    HandleTargetAlive(aState, aNow, target, aOut);
   }
-  Pump(aState, aNow, service, aOut);
+  ServeQueue(aState, aNow, service, aOut);
 }
 
 void Tick(State& aState, Micros aNow, Effects& aOut)
@@ -320,13 +330,13 @@
   while (!aState.mTimers.empty() && aState.mTimers.begin()->first <= aNow) {
     const std::uint64_t request = aState.mTimers.begin()->second;
     aState.mTimers.erase(aState.mTimers.begin());
-    Fire(aState, aNow, request, aOut);
+    HandleTimer(aState, aNow, request, aOut);
   }
   while (!aState.mProbeTimers.empty() &&
          aState.mProbeTimers.begin()->first <= aNow) {
     const std::string target = aState.mProbeTimers.begin()->second;
     aState.mProbeTimers.erase(aState.mProbeTimers.begin());
-    FireProbe(aState, aNow, target, aOut);
+    HandleProbeTimer(aState, aNow, target, aOut);
   }
   ExpireUnrouted(aState, aNow, aOut);
 }
--- a/src/dispatch/unrouted.cpp
+++ b/src/dispatch/unrouted.cpp
@@ -4,44 +4,46 @@
 #include <limits>
 #include <utility>
 
-// Requests that come while a host starts. After a loss of all hosts clients are
-// back before the group has a leader: one that is refused returns after a third
-// of its time and is late, one that waits a little is mostly in time.
+// Requests that arrive while a host starts. After an outage of all hosts,
+// clients reconnect before the control group has a leader. A refused client
+// retries after a third of its time and is late; one whose request is queued
+// briefly is usually on time.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// Share of its time that a request waits for the first policy: what is left is
-/// enough for its work, or for its client to come back.
-constexpr double kHeldShare = 0.25;
-/// When a refused client should come back: a host that starts has its policy a
-/// few tenths of a second later.
-constexpr Micros kStartingRetry = 200 * kMillisecond;
-constexpr Micros kNoPolicyRetry = 500 * kMillisecond;
+/// Share of its time that a request waits for the first policy; the rest
+/// suffices for its work, or for its client to retry.
+constexpr double kPolicyWaitShare = 0.25;
+/// Retry delay for refused clients: a starting host has its policy a few tenths
+/// of a second later.
+constexpr Micros kStartingRetryDelay = 200 * kMillisecond;
+constexpr Micros kNoPolicyRetryDelay = 500 * kMillisecond;
 
 } // namespace
 
-void HoldUnrouted(State& aState,
-                  Micros aNow,
-                  const Arrival& aArrival,
-                  Effects& aOut)
+void QueueUnrouted(State& aState,
+                   Micros aNow,
+                   const Arrival& aArrival,
+                   Effects& aOut)
 {
-  const auto share =
-    static_cast<Micros>(kHeldShare * static_cast<double>(aArrival.mPatience));
+  const auto share = static_cast<Micros>(
+    kPolicyWaitShare * static_cast<double>(aArrival.mPatience));
   const Micros giveUpAt = std::min(aNow + share, aState.mPolicyExpectedUntil);
   if (giveUpAt <= aNow) {
-    RefuseArrival(aState, aArrival, 503, kNoPolicyRetry, "no_policy_yet", aOut);
+    RefuseArrival(
+      aState, aArrival, 503, kNoPolicyRetryDelay, "no_policy_yet", aOut);
     return;
   }
   aState.mUnrouted[aArrival.mId] = { aArrival, aNow, giveUpAt };
 }
 
-// 404 says that there is no such route, and clients do not come back.
+// A 404 states that the route does not exist, and clients do not retry it.
 void RefuseUnknownRoute(State& aState, const Arrival& aArrival, Effects& aOut)
 {
-  if (aState.mMayBeBehind) {
+  if (aState.mPolicyMayBeOutdated) {
     RefuseArrival(
-      aState, aArrival, 503, kNoPolicyRetry, "policy_may_be_old", aOut);
+      aState, aArrival, 503, kNoPolicyRetryDelay, "policy_may_be_old", aOut);
   } else {
     RefuseArrival(aState, aArrival, 404, 0, "no_route", aOut);
   }
@@ -57,7 +59,7 @@
     RefuseArrival(aState,
                   it->second.mArrival,
                   503,
-                  RetryAfter(aState, kStartingRetry),
+                  RetryAfter(aState, kStartingRetryDelay),
                   "no_policy_yet",
                   aOut);
     it = aState.mUnrouted.erase(it);
@@ -78,8 +80,8 @@
   if (!aState.mPolicy) {
     return;
   }
-  const auto held = std::exchange(aState.mUnrouted, {});
-  for (const auto& [id, unrouted] : held) {
+  const auto queued = std::exchange(aState.mUnrouted, {});
+  for (const auto& [id, unrouted] : queued) {
     Admit(aState, aNow, unrouted.mArrivedAt, unrouted.mArrival, aOut);
   }
 }
--- a/src/dispatch/waiting.cpp
+++ b/src/dispatch/waiting.cpp
@@ -2,33 +2,34 @@
 
 #include <algorithm>
 
-// Requests that wait for a target: when each is looked at, sent or refused.
+// The queue of requests that wait for a target: when each is checked, sent or
+// refused.
 namespace geraniumpond::dispatch {
 
 namespace {
 
-/// A late request looks for room this many times less often than others.
-constexpr Micros kLatePause = 12;
-/// A target has become slow when its work takes this many times as long as it
-/// did at the choice.
-constexpr double kSlowedDown = 1.8;
-/// After this many times the expected time a target counts as stuck whatever
-/// it says of itself.
-constexpr Micros kOverdue = 3;
-/// A waiting request looks for a free target this many times in the time of
-/// its work: each look costs probes.
-constexpr Micros kLooksPerWork = 10;
-/// A refused client comes back after about this part of the time that it has
-/// left, so that as much is left for its work.
-constexpr Micros kReturnShare = 3;
+/// Late requests check for capacity this many times less often than others.
+constexpr Micros kLateRecheckFactor = 12;
+/// A target counts as slowed down when its slowness reaches this many times the
+/// value at the choice.
+constexpr double kSlowdownRatio = 1.8;
+/// After this many times the expected time a target counts as stuck, whatever
+/// it reports.
+constexpr Micros kOverdueFactor = 3;
+/// A waiting request checks for a free target this many times per service time:
+/// each check costs probes.
+constexpr Micros kRechecksPerWork = 10;
+/// A refused client retries after this fraction (1/n) of the time that it has
+/// left, so that enough is left for the work.
+constexpr Micros kRetryDelayDivisor = 3;
 
-bool IsAsking(const State& aState, const Request& aRequest, Micros aNow)
+bool IsAwaitingProbes(const State& aState, const Request& aRequest, Micros aNow)
 {
-  if (aNow >= aRequest.mAskedUntil) {
+  if (aNow >= aRequest.mProbesAwaitedUntil) {
     return false;
   }
-  return std::any_of(aRequest.mAsked.begin(),
-                     aRequest.mAsked.end(),
+  return std::any_of(aRequest.mProbed.begin(),
+                     aRequest.mProbed.end(),
                      [&](const std::string& aId) {
                        const auto found = aState.mTargets.find(aId);
                        return found != aState.mTargets.end() &&
@@ -36,51 +37,55 @@
                      });
 }
 
-// Targets whose report is fresh. A service may have a thousand, and each
-// waiting request is looked at whenever one answers.
+// Targets with a fresh report. Only recent reporters are scanned, because a
+// service may have a thousand targets and the queue is processed whenever one
+// answers.
 std::vector<Target*> FreshTargets(State& aState, Service& aService, Micros aNow)
 {
   std::vector<Target*> fresh;
   std::deque<std::string> reported;
-  for (std::string& id : aService.mReported) {
+  for (std::string& id : aService.mRecentReporters) {
     const auto found = aState.mTargets.find(id);
     if (found != aState.mTargets.end() && IsFresh(found->second, aNow)) {
       fresh.push_back(&found->second);
       reported.push_back(std::move(id));
     }
   }
-  aService.mReported = std::move(reported);
+  aService.mRecentReporters = std::move(reported);
   return fresh;
 }
 
-void LookLater(State& aState, Micros aNow, Request& aRequest, const Need& aNeed)
+void ScheduleRecheck(State& aState,
+                     Micros aNow,
+                     Request& aRequest,
+                     const Need& aNeed)
 {
-  aRequest.mAsked.clear();
-  aRequest.mAskRound = 0;
-  aRequest.mAskedUntil = 0;
+  aRequest.mProbed.clear();
+  aRequest.mProbeRound = 0;
+  aRequest.mProbesAwaitedUntil = 0;
   const bool late = aNow + aNeed.mWork > aRequest.mObjectiveAt;
-  const Micros pause =
-    std::max(kLookAgain, aNeed.mWork / kLooksPerWork) * (late ? kLatePause : 1);
-  // The last look comes in time for a refusal that leaves time to come back.
+  const Micros pause = std::max(kRecheckDelay, aNeed.mWork / kRechecksPerWork) *
+                       (late ? kLateRecheckFactor : 1);
+  // The last check must come early enough that a refused client has time to
+  // retry.
   const Micros giveUpAt = GiveUpAt(aRequest, aNeed);
-  aRequest.mLookAgainAt =
+  aRequest.mRecheckAt =
     aNow < giveUpAt ? std::min(aNow + pause, giveUpAt) : aNow + pause;
   SetTimer(aState, aRequest);
 }
 
-// The first attempt still works: a second one starts only where a target is
-// free now.
+// The first attempt continues; a hedge starts only if a target is free now.
 void StopHedging(State& aState, Micros aNow, Request& aRequest)
 {
   StopWaiting(aState, aRequest);
   aRequest.mHedging = false;
   const Need need = NeedOf(aState, aRequest);
-  aRequest.mHedgeAt = aNow + std::max(4 * kLookAgain, need.mWork / 2);
+  aRequest.mHedgeAt = aNow + std::max(4 * kRecheckDelay, need.mWork / 2);
   SetTimer(aState, aRequest);
 }
 
-// Targets change their speed while they work. One that answers and is as fast
-// as it was has a long piece of work: a second attempt would not end sooner.
+// Targets change their speed during an attempt. One that answers probes and is
+// as fast as before has a long request: a hedge would not finish sooner.
 bool LooksStuck(const State& aState, const Request& aRequest, Micros aNow)
 {
   return std::any_of(
@@ -92,14 +97,14 @@
         return true;
       }
       const bool slower = found->second.mReport->mSlowness >
-                          kSlowedDown * std::max(1.0, aAttempt.mSlowness);
+                          kSlowdownRatio * std::max(1.0, aAttempt.mSlowness);
       const bool overdue =
-        aNow - aAttempt.mSentAt > kOverdue * aAttempt.mExpected;
+        aNow - aAttempt.mSentAt > kOverdueFactor * aAttempt.mExpected;
       return slower || overdue;
     });
 }
 
-void SendOut(State& aState,
+void TrySend(State& aState,
              Micros aNow,
              Request& aRequest,
              Target& aTarget,
@@ -108,7 +113,7 @@
   Service& service = aState.mServices[aRequest.mService];
   const bool extra = aRequest.mSent > 0;
   const quarantine::Verdict verdict =
-    JudgeRequest(aState, aRequest.mIdentity, aRequest.mService, aNow);
+    JudgeQuarantine(aState, aRequest.mIdentity, aRequest.mService, aNow);
   if (aRequest.mHedging && verdict != quarantine::Verdict::Clear) {
     StopHedging(aState, aNow, aRequest);
     return;
@@ -142,24 +147,25 @@
   SendTo(aState, aNow, aRequest, aTarget, aOut);
 }
 
-// In time it cannot be any more: it comes back when others may have gone.
-Micros ReturnTime(const Request& aRequest, Micros aNow)
+// The request cannot be on time any more: its client retries when the load may
+// have dropped.
+Micros RetryDelay(const Request& aRequest, Micros aNow)
 {
-  return (aRequest.mDeadline - aNow) / kReturnShare;
+  return (aRequest.mDeadline - aNow) / kRetryDelayDivisor;
 }
 
-// One waiting request: sent, refused, or left to wait.
-void Serve(State& aState,
-           Micros aNow,
-           Look& aLook,
-           Request& aRequest,
-           const Need& aNeed,
-           Effects& aOut)
+// Sends, refuses or keeps one waiting request.
+void ServeRequest(State& aState,
+                  Micros aNow,
+                  PassCache& aCache,
+                  Request& aRequest,
+                  const Need& aNeed,
+                  Effects& aOut)
 {
-  if (IsAsking(aState, aRequest, aNow)) {
+  if (IsAwaitingProbes(aState, aRequest, aNow)) {
     return;
   }
-  const Choice choice = Choose(aState, aLook, aRequest, aNeed, aNow);
+  const Choice choice = Choose(aState, aCache, aRequest, aNeed, aNow);
   const bool hedging = aRequest.mHedging;
   switch (choice.mVerdict) {
     case Verdict::Send:
@@ -168,27 +174,27 @@
         StopHedging(aState, aNow, aRequest);
         return;
       }
-      SendOut(aState, aNow, aRequest, *choice.mTarget, aOut);
-      aLook.Forget();
+      TrySend(aState, aNow, aRequest, *choice.mTarget, aOut);
+      aCache.Invalidate();
       return;
-    case Verdict::AskMore:
-      if (aNow < aRequest.mLookAgainAt) {
+    case Verdict::ProbeMore:
+      if (aNow < aRequest.mRecheckAt) {
         return;
       }
-      if (Ask(aState, aNow, aRequest, aOut)) {
+      if (ProbeCandidates(aState, aNow, aRequest, aOut)) {
         SetTimer(aState, aRequest);
         return;
       }
-      Serve(aState, aNow, aLook, aRequest, aNeed, aOut);
+      ServeRequest(aState, aNow, aCache, aRequest, aNeed, aOut);
       return;
-    case Verdict::LookAgain:
+    case Verdict::Wait:
       if (hedging) {
         StopHedging(aState, aNow, aRequest);
         return;
       }
-      LookLater(aState, aNow, aRequest, aNeed);
+      ScheduleRecheck(aState, aNow, aRequest, aNeed);
       return;
-    case Verdict::Hopeless:
+    case Verdict::OutOfTime:
     case Verdict::NoTarget:
       if (hedging) {
         StopHedging(aState, aNow, aRequest);
@@ -198,16 +204,16 @@
              aNow,
              aRequest.mId,
              aRequest.mMayHaveRun ? 502 : 503,
-             RetryAfter(aState, ReturnTime(aRequest, aNow)),
-             choice.mVerdict == Verdict::Hopeless ? "deadline_out_of_reach"
-                                                  : "no_target",
+             RetryAfter(aState, RetryDelay(aRequest, aNow)),
+             choice.mVerdict == Verdict::OutOfTime ? "deadline_out_of_reach"
+                                                   : "no_target",
              aOut);
       return;
   }
 }
 
-// Requests of a route with the same objective.
-bool NeedTheSame(const Request& aLeft, const Request& aRight)
+// True for requests of one route with the same latency objective.
+bool HaveSameNeed(const Request& aLeft, const Request& aRight)
 {
   return aLeft.mObjectiveAt - aLeft.mArrivedAt ==
            aRight.mObjectiveAt - aRight.mArrivedAt &&
@@ -227,23 +233,23 @@
 
 Micros RetryAfter(State& aState, Micros aExpectedWait)
 {
-  // Clients that were refused together must not come back together.
-  constexpr Micros kLeast = 100 * kMillisecond;
-  const Micros middle = std::max(kLeast, aExpectedWait);
-  return middle / 2 +
-         static_cast<Micros>(NextPoint(aState) * static_cast<double>(middle));
+  // Random jitter: clients that were refused together must not retry together.
+  constexpr Micros kMinMean = 100 * kMillisecond;
+  const Micros mean = std::max(kMinMean, aExpectedWait);
+  return mean / 2 +
+         static_cast<Micros>(NextUniform(aState) * static_cast<double>(mean));
 }
 
 void StartWaiting(State& aState, Micros aNow, Request& aRequest, Effects& aOut)
 {
   Service& service = aState.mServices[aRequest.mService];
   aRequest.mWaiting = true;
-  aRequest.mAsked.clear();
-  aRequest.mAskRound = 0;
-  aRequest.mLookAgainAt = 0;
+  aRequest.mProbed.clear();
+  aRequest.mProbeRound = 0;
+  aRequest.mRecheckAt = 0;
   service.mWaiting.insert(
     { aRequest.mPriority, aRequest.mDeadline, aRequest.mId });
-  Ask(aState, aNow, aRequest, aOut);
+  ProbeCandidates(aState, aNow, aRequest, aOut);
   SetTimer(aState, aRequest);
 }
 
@@ -257,38 +263,37 @@
     { aRequest.mPriority, aRequest.mDeadline, aRequest.mId });
 }
 
-void Pump(State& aState,
-          Micros aNow,
-          const std::string& aService,
-          Effects& aOut)
+void ServeQueue(State& aState,
+                Micros aNow,
+                const std::string& aService,
+                Effects& aOut)
 {
   const auto service = aState.mServices.find(aService);
   if (service == aState.mServices.end()) {
     return;
   }
-  // Requests that can still meet their objective go first. In order of
-  // deadlines alone, an overload would make every request wait until its
-  // objective is lost.
+  // Requests that can still meet their objective go first. In deadline order
+  // alone, an overload would delay every request past its objective.
   std::vector<std::pair<std::uint64_t, Need>> order;
   std::vector<std::pair<std::uint64_t, Need>> late;
   const Request* last = nullptr;
   Need need;
   for (const WaitKey& key : service->second.mWaiting) {
     const Request& request = aState.mRequests.at(key.mRequest);
-    if (last == nullptr || !NeedTheSame(*last, request)) {
+    if (last == nullptr || !HaveSameNeed(*last, request)) {
       need = NeedOf(aState, request);
     }
     last = &request;
-    const bool lost = aNow + need.mWork > request.mObjectiveAt;
-    (lost ? late : order).emplace_back(key.mRequest, need);
+    const bool objectiveMissed = aNow + need.mWork > request.mObjectiveAt;
+    (objectiveMissed ? late : order).emplace_back(key.mRequest, need);
   }
   order.insert(order.end(), late.begin(), late.end());
-  Look look;
-  look.mFresh = FreshTargets(aState, service->second, aNow);
+  PassCache cache;
+  cache.mFresh = FreshTargets(aState, service->second, aNow);
   for (const auto& [id, needed] : order) {
     const auto found = aState.mRequests.find(id);
     if (found != aState.mRequests.end() && found->second.mWaiting) {
-      Serve(aState, aNow, look, found->second, needed, aOut);
+      ServeRequest(aState, aNow, cache, found->second, needed, aOut);
     }
   }
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,7 +21,7 @@
 void Append(Context& aContext, dispatch::Effects aEffects)
 {
   for (dispatch::Effect& effect : aEffects) {
-    if (auto* tell = std::get_if<dispatch::TellFleet>(&effect)) {
+    if (auto* tell = std::get_if<dispatch::SendFact>(&effect)) {
       fleet::Output output;
       fleet::Tell(
         aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
@@ -31,7 +31,7 @@
     std::visit(
       [&](auto& aOne) {
         using One = std::decay_t<decltype(aOne)>;
-        if constexpr (!std::is_same_v<One, dispatch::TellFleet>) {
+        if constexpr (!std::is_same_v<One, dispatch::SendFact>) {
           aContext.mOut.emplace_back(std::move(aOne));
         }
       },
@@ -94,7 +94,7 @@
   }
   for (const gossip::Item& item : aFleet.mNews) {
     dispatch::Effects effects;
-    dispatch::TakeGossip(state.mDispatch, aContext.mNow, item, effects);
+    dispatch::HandleFact(state.mDispatch, aContext.mNow, item, effects);
     Append(aContext, std::move(effects));
   }
   for (const fleet::Note& note : aFleet.mNotes) {
@@ -192,7 +192,8 @@
 {
   State& state = aContext.mState;
   rate_share::Members sharers;
-  if (state.mDispatch.mKnowsHosts && dispatch::NeedsSharers(state.mDispatch)) {
+  if (state.mDispatch.mKnowsHosts &&
+      dispatch::NeedsLimitHosts(state.mDispatch)) {
     std::vector<std::string> hosts;
     for (const fleet::Host* host :
          fleet::ReadyHosts(state.mFleet, aContext.mNow)) {
@@ -200,7 +201,7 @@
     }
     sharers = rate_share::MakeMembers(hosts, state.mDispatch.mHostId);
   }
-  dispatch::SetSharers(state.mDispatch, aContext.mNow, std::move(sharers));
+  dispatch::SetLimitHosts(state.mDispatch, aContext.mNow, std::move(sharers));
 }
 
 // Bounds that all hosts share hold over a window: within one the largest number
@@ -275,29 +276,31 @@
   void operator()(const dispatch::Arrival& aEvent)
   {
     State& state = mContext.mState;
-    state.mDispatch.mMayBeBehind =
+    state.mDispatch.mPolicyMayBeOutdated =
       !fleet::IsInTouch(state.mFleet, mContext.mNow);
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::Arrive(mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
+      dispatch::HandleArrival(
+        mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const dispatch::ProbeEnd& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::TakeProbe(
+      dispatch::HandleProbeEnd(
         mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const dispatch::AttemptEnd& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::TakeEnd(mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
+      dispatch::HandleAttemptEnd(
+        mContext.mState.mDispatch, mContext.mNow, aEvent, aOut);
     });
   }
   void operator()(const ClientGone& aEvent)
   {
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
-      dispatch::ClientLeft(
+      dispatch::HandleClientDisconnect(
         mContext.mState.mDispatch, mContext.mNow, aEvent.mRequest, aOut);
     });
   }
--- a/tests/crashes_test.cpp
+++ b/tests/crashes_test.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr Micros kStart = 1000 * kSecond;
-constexpr Micros kTrip = 3 * kMillisecond;
+constexpr Micros kRoundTrip = 3 * kMillisecond;
 
 std::shared_ptr<const policy::TrafficPolicy> MakePolicy()
 {
-  auto made = std::make_shared<policy::TrafficPolicy>();
-  made->mVersion = 1;
+  auto trafficPolicy = std::make_shared<policy::TrafficPolicy>();
+  trafficPolicy->mVersion = 1;
   policy::Route route;
   route.mName = "route";
   route.mHostName = "host";
@@ -25,10 +25,10 @@
   route.mAttempts = 1;
   route.mPriority = 1;
   route.mBackends = { { "service", 1 } };
-  made->mRoutes = { route };
-  made->mServices["service"] = { "service", "/health", 100 };
-  policy::BuildIndex(*made);
-  return made;
+  trafficPolicy->mRoutes = { route };
+  trafficPolicy->mServices["service"] = { "service", "/health", 100 };
+  policy::BuildIndex(*trafficPolicy);
+  return trafficPolicy;
 }
 
 template<class Kind>
@@ -49,12 +49,12 @@
 {
   CPPUNIT_TEST_SUITE(CrashesTest);
   CPPUNIT_TEST(BrokenAnswerOfATargetThatAnswersIsNoCrash);
-  CPPUNIT_TEST(BrokenAnswerOfATargetThatRefusesIsACrash);
+  CPPUNIT_TEST(BrokenAnswerOfATargetThatRefusesConnectionsIsACrash);
   CPPUNIT_TEST(BrokenAnswerWhoseAddressIsTakenIsACrash);
-  CPPUNIT_TEST(BrokenAnswerOfASilentTargetIsNoCrash);
-  CPPUNIT_TEST(BrokenAnswerOfATargetThatLeftIsNoCrash);
+  CPPUNIT_TEST(BrokenAnswerOfAnUnresponsiveTargetIsNoCrash);
+  CPPUNIT_TEST(BrokenAnswerOfARemovedTargetIsNoCrash);
   CPPUNIT_TEST(ProbeThatBrokeWithTheAnswerIsSentAgain);
-  CPPUNIT_TEST(AllRequestsOfATargetThatEndedAreTold);
+  CPPUNIT_TEST(AllRequestsOfATargetThatEndedAreReported);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -78,57 +78,57 @@
   {
     Break(Send("/a"));
     const Effects effects = EndProbe(Answer::Healthy);
-    CPPUNIT_ASSERT(All<TellFleet>(effects).empty());
-    // Nor does its end say anything of it later.
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(effects).empty());
+    // Nor does a later end of the target implicate the request.
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
-  void BrokenAnswerOfATargetThatRefusesIsACrash()
+  void BrokenAnswerOfATargetThatRefusesConnectionsIsACrash()
   {
     const Effects broken = Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<ProbeTarget>(broken).size());
-    const auto told = All<TellFleet>(EndProbe(Answer::Refused));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), told.size());
-    CPPUNIT_ASSERT(told[0].mItem.mKind == gossip::Kind::RequestCrash);
+    const auto facts = All<SendFact>(EndProbe(Answer::Refused));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), facts.size());
+    CPPUNIT_ASSERT(facts[0].mItem.mKind == gossip::Kind::RequestCrash);
   }
 
   void BrokenAnswerWhoseAddressIsTakenIsACrash()
   {
     Break(Send("/a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         All<TellFleet>(EndProbe(Answer::Other)).size());
+                         All<SendFact>(EndProbe(Answer::Other)).size());
   }
 
-  void BrokenAnswerOfASilentTargetIsNoCrash()
+  void BrokenAnswerOfAnUnresponsiveTargetIsNoCrash()
   {
     Break(Send("/a"));
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::None)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::None)).empty());
     mNow += 4 * kSecond;
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
-  void BrokenAnswerOfATargetThatLeftIsNoCrash()
+  void BrokenAnswerOfARemovedTargetIsNoCrash()
   {
     const SendRequest sent = Send("/a");
     Effects effects;
     SetTargets(mState, mNow, {}, effects);
-    CPPUNIT_ASSERT(All<TellFleet>(Break(sent)).empty());
-    CPPUNIT_ASSERT(All<TellFleet>(EndProbe(Answer::Refused)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(Break(sent)).empty());
+    CPPUNIT_ASSERT(All<SendFact>(EndProbe(Answer::Refused)).empty());
   }
 
   void ProbeThatBrokeWithTheAnswerIsSentAgain()
   {
     const SendRequest sent = Send("/a");
-    (void)Ask("/b");
+    (void)Submit("/b");
     CPPUNIT_ASSERT(mState.mTargets.at("t").mProbing);
     CPPUNIT_ASSERT(All<ProbeTarget>(Break(sent)).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
                          All<ProbeTarget>(EndProbe(Answer::None)).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         All<TellFleet>(EndProbe(Answer::Refused)).size());
+                         All<SendFact>(EndProbe(Answer::Refused)).size());
   }
 
-  void AllRequestsOfATargetThatEndedAreTold()
+  void AllRequestsOfATargetThatEndedAreReported()
   {
     const SendRequest first = Send("/a");
     const SendRequest second = Send("/b");
@@ -136,9 +136,9 @@
     Break(first);
     Break(second);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2),
-                         All<TellFleet>(EndProbe(Answer::Refused)).size());
-    // Its end is seen on another connection a moment later.
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<TellFleet>(Break(third)).size());
+                         All<SendFact>(EndProbe(Answer::Refused)).size());
+    // The third answer breaks on another connection a moment later.
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendFact>(Break(third)).size());
   }
 
 private:
@@ -150,23 +150,23 @@
     Healthy
   };
 
-  Effects Ask(const std::string& aPath)
+  Effects Submit(const std::string& aPath)
   {
-    // Reports grow old between requests, so that each asks anew.
+    // Reports expire between requests, so that each one sends a probe.
     mNow += 100 * kMillisecond;
     Arrival arrival;
-    arrival.mId = ++mLast;
+    arrival.mId = ++mLastId;
     arrival.mHostName = "host";
     arrival.mPath = aPath;
     arrival.mPatience = kSecond;
     Effects effects;
-    Arrive(mState, mNow, arrival, effects);
+    HandleArrival(mState, mNow, arrival, effects);
     return effects;
   }
 
   SendRequest Send(const std::string& aPath)
   {
-    (void)Ask(aPath);
+    (void)Submit(aPath);
     const auto sends = All<SendRequest>(EndProbe(Answer::Healthy));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), sends.size());
     return sends[0];
@@ -174,20 +174,20 @@
 
   Effects Break(const SendRequest& aSent)
   {
-    mNow += kTrip;
+    mNow += kRoundTrip;
     AttemptEnd end;
     end.mRequest = aSent.mRequest;
     end.mAttempt = aSent.mAttempt;
     end.mKind = EndKind::Broken;
     end.mReason = "reset";
     Effects effects;
-    TakeEnd(mState, mNow, end, effects);
+    HandleAttemptEnd(mState, mNow, end, effects);
     return effects;
   }
 
   Effects EndProbe(Answer aAnswer)
   {
-    mNow += kTrip;
+    mNow += kRoundTrip;
     ProbeEnd end;
     end.mTarget = "t";
     end.mAnswered = aAnswer == Answer::Healthy || aAnswer == Answer::Other;
@@ -196,13 +196,13 @@
     end.mAnsweredBy = aAnswer == Answer::Other ? "u" : "t";
     end.mReport = Report{ 0, 0, 4, 1 };
     Effects effects;
-    TakeProbe(mState, mNow, end, effects);
+    HandleProbeEnd(mState, mNow, end, effects);
     return effects;
   }
 
   Micros mNow = kStart;
   State mState;
-  std::uint64_t mLast = 0;
+  std::uint64_t mLastId = 0;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(CrashesTest);
--- a/tests/dispatch_load_test.cpp
+++ b/tests/dispatch_load_test.cpp
@@ -5,77 +5,79 @@
 namespace geraniumpond::dispatch {
 
 using fakes::DispatchLoad;
-using fakes::DispatchTally;
+using fakes::DispatchOutcomes;
 using fakes::DispatchWorld;
 
-/// \brief Loads that are played on many hosts at once; what clients get.
+/// \brief Simulates loads on many hosts at once and checks the clients'
+/// outcomes.
 class DispatchLoadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchLoadTest);
-  CPPUNIT_TEST(ModerateLoadIsNearlyAllAnsweredInTime);
-  CPPUNIT_TEST(OverloadLeavesMostRequestsInTimeOverManyHosts);
-  CPPUNIT_TEST(HostsMeetTheirSubsetAloneUnderLoad);
-  CPPUNIT_TEST(HostsMeetFewTargetsWhileTheseAnnounceThemselves);
+  CPPUNIT_TEST(ModerateLoadIsNearlyAllAnsweredOnTime);
+  CPPUNIT_TEST(OverloadLeavesMostRequestsOnTimeOverManyHosts);
+  CPPUNIT_TEST(HostsContactOnlyTheirSubsetUnderLoad);
+  CPPUNIT_TEST(HostsContactFewTargetsWhileTheseAnnounceThemselves);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ModerateLoadIsNearlyAllAnsweredInTime()
+  void ModerateLoadIsNearlyAllAnsweredOnTime()
   {
     for (const bool idempotent : { true, false }) {
       DispatchLoad load = LoadOf(0.7);
       load.mIdempotent = idempotent;
-      const DispatchTally tally = Play(load);
-      CPPUNIT_ASSERT(tally.mInTime > 0.98 * tally.mOffered);
+      const DispatchOutcomes outcomes = RunLoad(load);
+      CPPUNIT_ASSERT(outcomes.mInTime > 0.98 * outcomes.mOffered);
     }
   }
 
-  // At 1.4 times the room every request that is sent late takes a slot that
-  // one in time would have had: 0.25 were in time before late ones left room,
-  // 0.60 while they took any target that was not crowded, 0.80 now.
-  void OverloadLeavesMostRequestsInTimeOverManyHosts()
+  // At 1.4 times the capacity, each request that is sent late takes a slot from
+  // one that could be on time. The share on time is 0.25 if late requests take
+  // any capacity, 0.60 if they take any target that is not crowded, and 0.80 if
+  // they take only spare capacity.
+  void OverloadLeavesMostRequestsOnTimeOverManyHosts()
   {
-    const DispatchTally heavy = Play(LoadOf(1.4));
+    const DispatchOutcomes heavy = RunLoad(LoadOf(1.4));
     CPPUNIT_ASSERT(heavy.mInTime > 0.72 * heavy.mOffered);
     CPPUNIT_ASSERT(heavy.mInTime + heavy.mLate > 0.9 * heavy.mOffered);
-    const DispatchTally full = Play(LoadOf(1.2));
+    const DispatchOutcomes full = RunLoad(LoadOf(1.2));
     CPPUNIT_ASSERT(full.mInTime > 0.9 * full.mOffered);
   }
 
-  void HostsMeetTheirSubsetAloneUnderLoad()
+  void HostsContactOnlyTheirSubsetUnderLoad()
   {
-    const DispatchTally tally = Play(LoadOf(1));
-    CPPUNIT_ASSERT(tally.mMeetings <= kHosts * kSubset);
+    const DispatchOutcomes outcomes = RunLoad(LoadOf(1));
+    CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
-  void HostsMeetFewTargetsWhileTheseAnnounceThemselves()
+  void HostsContactFewTargetsWhileTheseAnnounceThemselves()
   {
     DispatchWorld world(LoadOf(0.2), 3);
     world.AddTargetsOneByOne(20 * kMillisecond);
-    const DispatchTally tally = world.Play(5 * kSecond);
-    CPPUNIT_ASSERT(tally.mMeetings <= kHosts * kSubset);
+    const DispatchOutcomes outcomes = world.RunLoad(5 * kSecond);
+    CPPUNIT_ASSERT(outcomes.mContacts <= kHosts * kSubset);
   }
 
 private:
   static constexpr std::size_t kHosts = 40;
   static constexpr std::size_t kSubset = 12;
 
-  // A load as a share of what targets at their usual pace can do, one request
-  // at a time.
+  // A load as a share of the throughput of targets at usual speed, one request
+  // at a time each.
   static DispatchLoad LoadOf(double aShare)
   {
     DispatchLoad load;
     load.mHosts = kHosts;
-    const double atOnce = load.mTargets * (1 - load.mSlowShare);
+    const double usualTargets = load.mTargets * (1 - load.mSlowShare);
     load.mPerSecond =
-      aShare * atOnce * kSecond / static_cast<double>(load.mWork);
+      aShare * usualTargets * kSecond / static_cast<double>(load.mWork);
     return load;
   }
 
-  static DispatchTally Play(const DispatchLoad& aLoad)
+  static DispatchOutcomes RunLoad(const DispatchLoad& aLoad)
   {
     DispatchWorld world(aLoad, 7);
     world.AddTargets();
-    return world.Play(20 * kSecond);
+    return world.RunLoad(20 * kSecond);
   }
 };
 
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -30,14 +30,16 @@
 
 std::shared_ptr<const policy::TrafficPolicy> MakePolicy()
 {
-  auto made = std::make_shared<policy::TrafficPolicy>();
-  made->mVersion = 1;
-  made->mRoutes = { MakeRoute("/safe/", policy::RouteKind::Safe, 1),
-                    MakeRoute("/unsafe/", policy::RouteKind::Unsafe, 1),
-                    MakeRoute("/bulk/", policy::RouteKind::Download, 5) };
-  made->mServices["service"] = { "service", "/health", 100 };
-  policy::BuildIndex(*made);
-  return made;
+  auto trafficPolicy = std::make_shared<policy::TrafficPolicy>();
+  trafficPolicy->mVersion = 1;
+  trafficPolicy->mRoutes = {
+    MakeRoute("/safe/", policy::RouteKind::Safe, 1),
+    MakeRoute("/unsafe/", policy::RouteKind::Unsafe, 1),
+    MakeRoute("/bulk/", policy::RouteKind::Download, 5)
+  };
+  trafficPolicy->mServices["service"] = { "service", "/health", 100 };
+  policy::BuildIndex(*trafficPolicy);
+  return trafficPolicy;
 }
 
 wire::TargetRecord MakeTarget(const std::string& aId, bool aDraining = false)
@@ -70,39 +72,39 @@
 class DispatchTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchTest);
-  CPPUNIT_TEST(EmptiestFastTargetIsChosenAfterAsking);
-  CPPUNIT_TEST(SlowTargetIsLeftOutWhileAFasterOneIsFree);
-  CPPUNIT_TEST(SilentTargetIsNotWaitedForLongerThanItsPatience);
-  CPPUNIT_TEST(UnsafeRequestWithALostEndIsNeverSentAgain);
-  CPPUNIT_TEST(UnsafeRequestThatATargetRefusedGoesElsewhere);
-  CPPUNIT_TEST(UnsafeRequestThatNeverLeftGoesElsewhere);
+  CPPUNIT_TEST(LeastLoadedFastTargetIsChosenAfterProbes);
+  CPPUNIT_TEST(SlowTargetIsAvoidedWhileAFasterOneIsFree);
+  CPPUNIT_TEST(UnansweredProbeDelaysARequestForALimitedTime);
+  CPPUNIT_TEST(UnsafeRequestWithABrokenAnswerIsNeverSentAgain);
+  CPPUNIT_TEST(UnsafeRequestRefusedByATargetIsRetriedElsewhere);
+  CPPUNIT_TEST(UnsafeRequestThatWasNotSentIsRetriedElsewhere);
   CPPUNIT_TEST(SafeRequestIsSentToNoMoreTargetsThanItsRouteAllows);
-  CPPUNIT_TEST(RefusalAfterAPossibleRunIsNoPromise);
+  CPPUNIT_TEST(RefusalAfterAPossibleRunIsABadGateway);
   CPPUNIT_TEST(ExtraAttemptsStayWithinTheHostsShare);
-  CPPUNIT_TEST(ClientThatLeftEndsIdempotentWorkOnly);
-  CPPUNIT_TEST(DeadlinePassedIsAnsweredAtOnce);
-  CPPUNIT_TEST(SlowAnswerIsRacedByASecondTargetOnlyWhereIdempotent);
-  CPPUNIT_TEST(TargetThatBecameSlowIsLeftForAnotherInTime);
-  CPPUNIT_TEST(LongWorkAtATargetAsFastAsBeforeIsNotRepeated);
-  CPPUNIT_TEST(EstimateThatLeavesNoTimeIsLearntAnew);
-  CPPUNIT_TEST(UnknownRouteAndMissingPolicyAreToldApart);
-  CPPUNIT_TEST(RequestsBeforeTheFirstPolicyWaitForItALittle);
+  CPPUNIT_TEST(DisconnectedClientCancelsIdempotentWorkOnly);
+  CPPUNIT_TEST(PassedDeadlineIsAnsweredAtOnce);
+  CPPUNIT_TEST(SlowAnswerIsHedgedOnlyWhereIdempotent);
+  CPPUNIT_TEST(RequestAtATargetThatSlowedDownIsHedged);
+  CPPUNIT_TEST(LongRequestAtATargetOfSteadySpeedIsNotHedged);
+  CPPUNIT_TEST(EstimateThatExceedsAllDeadlinesIsReset);
+  CPPUNIT_TEST(UnknownRouteAndMissingPolicyAreDistinguished);
+  CPPUNIT_TEST(RequestsBeforeTheFirstPolicyWaitForItBriefly);
   CPPUNIT_TEST(RequestsWithoutAPolicyAreRefusedAtOnceWhenNoneIsExpected);
-  CPPUNIT_TEST(FirstRequestThatWaitsDoesNotSetThePace);
-  CPPUNIT_TEST(UrgentRequestsGoBeforeBulkWhereRoomIsShort);
-  CPPUNIT_TEST(OverloadLeavesMostOfWhatFitsInTime);
-  CPPUNIT_TEST(HopelessRequestIsRefusedAtOnceWithATimeToReturn);
-  CPPUNIT_TEST(RequestThatFindsNoRoomIsRefusedWithTimeToComeBack);
-  CPPUNIT_TEST(LateRequestIsServedWhereFewTargetsAreLeft);
+  CPPUNIT_TEST(FirstWaitingRequestDoesNotSetTheDispatchInterval);
+  CPPUNIT_TEST(UrgentRequestsGoBeforeBulkWhenCapacityIsShort);
+  CPPUNIT_TEST(OverloadLeavesMostOfWhatFitsOnTime);
+  CPPUNIT_TEST(RequestWithoutTargetsIsRefusedAtOnceWithARetryDelay);
+  CPPUNIT_TEST(RequestThatFindsNoCapacityIsRefusedWithTimeToRetry);
+  CPPUNIT_TEST(LateRequestIsServedWhereFewTargetsAreAvailable);
   CPPUNIT_TEST(LargeAnswersTakeTurnsOnASlowLink);
-  CPPUNIT_TEST(DrainingTargetGetsNothingMore);
-  CPPUNIT_TEST(TargetStartedAgainUnderItsIdIsANewOne);
-  CPPUNIT_TEST(TargetsOfServicesThatNoPolicyNamesAreLeftAlone);
-  CPPUNIT_TEST(TargetWhoseAddressIsTakenIsLeftAlone);
-  CPPUNIT_TEST(TargetsKnownBeforeThePolicyAreNotAsked);
+  CPPUNIT_TEST(DrainingTargetGetsNoMoreRequests);
+  CPPUNIT_TEST(TargetRestartedUnderItsIdIsANewTarget);
+  CPPUNIT_TEST(TargetsOfServicesWithoutAPolicyAreNotProbed);
+  CPPUNIT_TEST(TargetWhoseAddressIsTakenGetsNoRequests);
+  CPPUNIT_TEST(TargetsKnownBeforeThePolicyAreNotProbed);
   CPPUNIT_TEST(ProbesStayWithinTheHostsShare);
-  CPPUNIT_TEST(TargetThatTellsItsLoadAgainCountsOnce);
-  CPPUNIT_TEST(SubsetsOfManyHostsHoldEveryTargetAboutEquallyOften);
+  CPPUNIT_TEST(TargetThatReportsItsLoadAgainCountsOnce);
+  CPPUNIT_TEST(SubsetsOfManyHostsIncludeEveryTargetAboutEquallyOften);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -117,7 +119,7 @@
     mEffects.clear();
   }
 
-  void EmptiestFastTargetIsChosenAfterAsking()
+  void LeastLoadedFastTargetIsChosenAfterProbes()
   {
     AddTargets(5);
     Arrive("/safe/x");
@@ -131,7 +133,7 @@
     CPPUNIT_ASSERT(!sent[0].mProvenConnection);
   }
 
-  void SlowTargetIsLeftOutWhileAFasterOneIsFree()
+  void SlowTargetIsAvoidedWhileAFasterOneIsFree()
   {
     AddTargets(3);
     Arrive("/unsafe/x");
@@ -144,7 +146,7 @@
     CPPUNIT_ASSERT(sent[0].mProvenConnection);
   }
 
-  void SilentTargetIsNotWaitedForLongerThanItsPatience()
+  void UnansweredProbeDelaysARequestForALimitedTime()
   {
     AddTargets(2);
     Arrive("/safe/x");
@@ -154,7 +156,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void UnsafeRequestWithALostEndIsNeverSentAgain()
+  void UnsafeRequestWithABrokenAnswerIsNeverSentAgain()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -167,7 +169,7 @@
     CPPUNIT_ASSERT_EQUAL(Micros(0), replies[0].mRetryAfter);
   }
 
-  void UnsafeRequestThatATargetRefusedGoesElsewhere()
+  void UnsafeRequestRefusedByATargetIsRetriedElsewhere()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -176,7 +178,7 @@
     const auto all = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), all.size());
     CPPUNIT_ASSERT(all[1].mTarget != all[0].mTarget);
-    // Refused twice: the promise that it did not run holds.
+    // After two refusals it is still certain that the request did not run.
     End(all[1], EndKind::Answered, 503, true);
     const auto replies = All<ReplyToClient>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), replies.size());
@@ -184,7 +186,7 @@
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
   }
 
-  void UnsafeRequestThatNeverLeftGoesElsewhere()
+  void UnsafeRequestThatWasNotSentIsRetriedElsewhere()
   {
     AddTargets(3);
     const SendRequest sent = ArriveAndSend("/unsafe/x");
@@ -207,7 +209,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<SendRequest>(mEffects).size());
   }
 
-  void RefusalAfterAPossibleRunIsNoPromise()
+  void RefusalAfterAPossibleRunIsABadGateway()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -236,25 +238,25 @@
       }
       Advance(20 * kMillisecond);
     }
-    // Two tenths of the requests and a tenth of sixty, over four seconds.
+    // 0.2 of the requests plus a tenth of 60, over four seconds.
     CPPUNIT_ASSERT(extra <= 200 * 0.2 + 6);
     CPPUNIT_ASSERT(extra >= 20);
   }
 
-  void ClientThatLeftEndsIdempotentWorkOnly()
+  void DisconnectedClientCancelsIdempotentWorkOnly()
   {
     AddTargets(5);
     const SendRequest safe = ArriveAndSend("/safe/x");
-    ClientLeft(mState, mNow, safe.mRequest, mEffects);
+    HandleClientDisconnect(mState, mNow, safe.mRequest, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<CancelAttempt>(mEffects).size());
     const SendRequest unsafe = ArriveAndSend("/unsafe/x");
-    ClientLeft(mState, mNow, unsafe.mRequest, mEffects);
+    HandleClientDisconnect(mState, mNow, unsafe.mRequest, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<CancelAttempt>(mEffects).size());
     End(unsafe, EndKind::Answered, 200, false);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
-  void DeadlinePassedIsAnsweredAtOnce()
+  void PassedDeadlineIsAnsweredAtOnce()
   {
     AddTargets(5);
     (void)ArriveAndSend("/safe/x");
@@ -264,13 +266,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), replies.size());
     CPPUNIT_ASSERT_EQUAL(504, replies[0].mStatus);
     CPPUNIT_ASSERT_EQUAL(504, replies[1].mStatus);
-    // What cannot be repeated runs to its end.
+    // A non-idempotent attempt runs to its end.
     for (const CancelAttempt& cancel : All<CancelAttempt>(mEffects)) {
       CPPUNIT_ASSERT_EQUAL(replies[0].mRequest, cancel.mRequest);
     }
   }
 
-  void SlowAnswerIsRacedByASecondTargetOnlyWhereIdempotent()
+  void SlowAnswerIsHedgedOnlyWhereIdempotent()
   {
     AddTargets(5);
     (void)ArriveAndSend("/unsafe/x");
@@ -289,8 +291,8 @@
     CPPUNIT_ASSERT_EQUAL(first.mAttempt, cancels[0].mAttempt);
   }
 
-  // Work is expected to take 105 ms of an objective of 300.
-  void TargetThatBecameSlowIsLeftForAnotherInTime()
+  // The expected service time is 105 ms, of an objective of 300 ms.
+  void RequestAtATargetThatSlowedDownIsHedged()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -302,7 +304,7 @@
     CPPUNIT_ASSERT(all[1].mTarget != first.mTarget);
   }
 
-  void LongWorkAtATargetAsFastAsBeforeIsNotRepeated()
+  void LongRequestAtATargetOfSteadySpeedIsNotHedged()
   {
     AddTargets(5);
     const SendRequest first = ArriveAndSend("/safe/x");
@@ -314,7 +316,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void EstimateThatLeavesNoTimeIsLearntAnew()
+  void EstimateThatExceedsAllDeadlinesIsReset()
   {
     AddTargets(3);
     RouteStatistics& learnt = mState.mStatistics["/safe/"];
@@ -330,7 +332,7 @@
     CPPUNIT_ASSERT(!All<ProbeTarget>(mEffects).empty());
   }
 
-  void UnknownRouteAndMissingPolicyAreToldApart()
+  void UnknownRouteAndMissingPolicyAreDistinguished()
   {
     Arrive("/nowhere/x");
     CPPUNIT_ASSERT_EQUAL(404, All<ReplyToClient>(mEffects).back().mStatus);
@@ -339,23 +341,23 @@
     CPPUNIT_ASSERT_EQUAL(503, All<ReplyToClient>(mEffects).back().mStatus);
   }
 
-  // Clients of a host that starts: those that can still be in time wait for the
-  // first policy, and no longer than a quarter of their time.
-  void RequestsBeforeTheFirstPolicyWaitForItALittle()
+  // On a starting host, requests that can still be on time wait for the first
+  // policy, but no longer than a quarter of their timeout.
+  void RequestsBeforeTheFirstPolicyWaitForItBriefly()
   {
     const auto policy = std::exchange(mState.mPolicy, nullptr);
     AddTargets(2);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", 400 * kMillisecond);
-    const std::uint64_t brief = mLast;
+    const std::uint64_t shortTimeout = mLastId;
     ArriveWithPatience("/unsafe/x", kSecond);
-    const std::uint64_t patient = mLast;
+    const std::uint64_t longTimeout = mLastId;
     Advance(90 * kMillisecond);
     CPPUNIT_ASSERT(All<ReplyToClient>(mEffects).empty());
     Advance(20 * kMillisecond);
     const auto replies = All<ReplyToClient>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), replies.size());
-    CPPUNIT_ASSERT_EQUAL(brief, replies[0].mRequest);
+    CPPUNIT_ASSERT_EQUAL(shortTimeout, replies[0].mRequest);
     CPPUNIT_ASSERT_EQUAL(503, replies[0].mStatus);
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
     Advance(90 * kMillisecond);
@@ -364,8 +366,8 @@
     AnswerProbes();
     const auto sent = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), sent.size());
-    CPPUNIT_ASSERT_EQUAL(patient, sent[0].mRequest);
-    // Its time counts from its arrival.
+    CPPUNIT_ASSERT_EQUAL(longTimeout, sent[0].mRequest);
+    // The deadline counts from the arrival.
     CPPUNIT_ASSERT_EQUAL(mNow + 800 * kMillisecond, sent[0].mDeadline);
   }
 
@@ -376,13 +378,14 @@
     CPPUNIT_ASSERT_EQUAL(503, All<ReplyToClient>(mEffects).at(0).mStatus);
     mState.mPolicyExpectedUntil = mNow + kSecond;
     ArriveWithPatience("/safe/x", kSecond);
-    ClientLeft(mState, mNow, mLast, mEffects);
+    HandleClientDisconnect(mState, mNow, mLastId, mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), RunningRequests(mState));
   }
 
-  // The first request that waited once set the pace to the time since the
-  // clock's start, and whoever waited behind it was refused.
-  void FirstRequestThatWaitsDoesNotSetThePace()
+  // Guards against a dispatch interval that is measured from time zero: the
+  // first waiting request then set a huge interval, and all requests queued
+  // behind it were refused.
+  void FirstWaitingRequestDoesNotSetTheDispatchInterval()
   {
     AddTargets(3);
     Arrive("/safe/a");
@@ -393,10 +396,10 @@
     CPPUNIT_ASSERT(All<ReplyToClient>(mEffects).empty());
   }
 
-  void UrgentRequestsGoBeforeBulkWhereRoomIsShort()
+  void UrgentRequestsGoBeforeBulkWhenCapacityIsShort()
   {
     AddTargets(1);
-    // All slots and the room that is used behind them are taken.
+    // All slots and the target's queue are occupied.
     for (int i = 0; i < 4; ++i) {
       Arrive("/bulk/x");
     }
@@ -407,10 +410,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), sent[0].mRequest);
   }
 
-  // Eight targets of two slots, 130 % of what they can do for 20 s. In order of
-  // deadlines alone every request waits until its objective is lost; the ones
-  // that can still make it go first, and most of what fits is in time.
-  void OverloadLeavesMostOfWhatFitsInTime()
+  // Eight targets of two slots, at 130 % of their throughput for 20 s. In
+  // deadline order alone every request waits until its objective is missed.
+  // Requests that can still meet it go first, so that most of what fits is on
+  // time.
+  void OverloadLeavesMostOfWhatFitsOnTime()
   {
     AddTargets(8);
     std::mt19937_64 random(11);
@@ -427,7 +431,7 @@
       for (; next <= mNow; ++offered) {
         next += static_cast<Micros>(gaps(random) * kSecond);
         Arrive("/safe/x");
-        arrived[mLast] = mNow;
+        arrived[mLastId] = mNow;
       }
       while (!ends.empty() && ends.begin()->first <= mNow) {
         const SendRequest sent = ends.begin()->second;
@@ -446,7 +450,7 @@
         Effects effects;
         std::swap(effects, mEffects);
         for (const SendRequest& sent : All<SendRequest>(effects)) {
-          // Over two the others wait their turn behind it.
+          // Requests beyond two wait in the target's queue.
           const int ahead = running[sent.mTarget]++;
           const Micros turns = 1 + std::max(0, ahead - 1) / 2;
           ends.emplace(mNow + turns * 100 * kMillisecond, sent);
@@ -458,12 +462,12 @@
         }
       }
     }
-    // 3,200 fit in twenty seconds.
+    // The targets can answer 3,200 in twenty seconds.
     CPPUNIT_ASSERT(offered > 4000);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(inTime), inTime > 3000);
   }
 
-  void HopelessRequestIsRefusedAtOnceWithATimeToReturn()
+  void RequestWithoutTargetsIsRefusedAtOnceWithARetryDelay()
   {
     Arrive("/safe/x");
     const auto replies = All<ReplyToClient>(mEffects);
@@ -472,7 +476,7 @@
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
   }
 
-  void RequestThatFindsNoRoomIsRefusedWithTimeToComeBack()
+  void RequestThatFindsNoCapacityIsRefusedWithTimeToRetry()
   {
     AddTargets(3);
     const Micros arrivedAt = mNow;
@@ -490,21 +494,21 @@
     CPPUNIT_ASSERT_EQUAL(503, replies[0].mStatus);
     CPPUNIT_ASSERT(replies[0].mRetryAfter > 0);
     CPPUNIT_ASSERT(All<SendRequest>(mEffects).empty());
-    // Half of the second that the route allows.
-    const Micros held = mNow - arrivedAt;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(held),
-                           held > 300 * kMillisecond &&
-                             held < 550 * kMillisecond);
+    // Half of the route's timeout of one second.
+    const Micros waited = mNow - arrivedAt;
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(waited),
+                           waited > 300 * kMillisecond &&
+                             waited < 550 * kMillisecond);
   }
 
-  // Eight targets of which seven cannot be reached: the last one is empty.
-  void LateRequestIsServedWhereFewTargetsAreLeft()
+  // Only one of eight targets is available, and it is idle.
+  void LateRequestIsServedWhereFewTargetsAreAvailable()
   {
     AddTargets(8);
     for (int i = 1; i < 8; ++i) {
-      mState.mTargets.at(Name(i)).mSuspect = true;
+      mState.mTargets.at(Name(i)).mUnavailable = true;
     }
-    // Longer than the objective: late from the start.
+    // Longer than the objective, so that the request is late from the start.
     mState.mStatistics["/safe/"].mWork = 400.0 * kMillisecond;
     const SendRequest sent = ArriveAndSend("/safe/x");
     CPPUNIT_ASSERT_EQUAL(Name(0), sent.mTarget);
@@ -517,7 +521,7 @@
     const SendRequest learnt = ArriveAndSend("/bulk/x");
     EndWithBytes(learnt, 90000);
     const SendRequest running = ArriveAndSend("/bulk/x");
-    // A second large one waits, a small one does not.
+    // A second large answer waits, a small one does not.
     mEffects.clear();
     Arrive("/bulk/x");
     AnswerProbes();
@@ -533,7 +537,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendRequest>(mEffects).size());
   }
 
-  void DrainingTargetGetsNothingMore()
+  void DrainingTargetGetsNoMoreRequests()
   {
     AddTargets(2);
     mTargets[Name(0)] = MakeTarget(Name(0), true);
@@ -545,8 +549,9 @@
     }
   }
 
-  // What was sent to the earlier incarnation is not known to have run or not.
-  void TargetStartedAgainUnderItsIdIsANewOne()
+  // It is unknown whether the earlier incarnation ran the request that was sent
+  // to it.
+  void TargetRestartedUnderItsIdIsANewTarget()
   {
     AddTargets(1);
     const SendRequest before = ArriveAndSend("/unsafe/x");
@@ -564,7 +569,7 @@
     const Target& target = mState.mTargets.at(again);
     CPPUNIT_ASSERT_EQUAL(0, target.mRunning);
     CPPUNIT_ASSERT_EQUAL(0.0, target.mFailureShare);
-    CPPUNIT_ASSERT(target.mWarmAt > mNow);
+    CPPUNIT_ASSERT(target.mWarmUpEnd > mNow);
     Arrive("/safe/x");
     AnswerProbe(again, { 0, 0, 2, 1 }, Name(0));
     const SendRequest after = All<SendRequest>(mEffects).back();
@@ -572,7 +577,7 @@
     CPPUNIT_ASSERT_EQUAL(Name(0), after.mTargetName);
   }
 
-  void TargetsOfServicesThatNoPolicyNamesAreLeftAlone()
+  void TargetsOfServicesWithoutAPolicyAreNotProbed()
   {
     mTargets[Name(0)] = MakeTarget(Name(0));
     mTargets[Name(0)].set_service("unnamed");
@@ -581,7 +586,7 @@
     CPPUNIT_ASSERT(All<ProbeTarget>(mEffects).empty());
   }
 
-  void TargetWhoseAddressIsTakenIsLeftAlone()
+  void TargetWhoseAddressIsTakenGetsNoRequests()
   {
     AddTargets(2);
     Arrive("/safe/x");
@@ -591,13 +596,14 @@
     other.mHealthy = true;
     other.mAnsweredBy = "another";
     other.mReport = Report{ 0, 0, 2, 1 };
-    TakeProbe(mState, mNow, other, mEffects);
+    HandleProbeEnd(mState, mNow, other, mEffects);
     AnswerProbe(Name(1), { 1, 0, 2, 1 });
     CPPUNIT_ASSERT_EQUAL(Name(1), All<SendRequest>(mEffects).back().mTarget);
   }
 
-  // They were once asked for an empty path, which is no sound request.
-  void TargetsKnownBeforeThePolicyAreNotAsked()
+  // Guards against probes with an empty path, a malformed request, which were
+  // sent to targets known before the policy.
+  void TargetsKnownBeforeThePolicyAreNotProbed()
   {
     mState = State();
     mState.mBounds = { 0.2, 60, 10 * kSecond, 100 };
@@ -606,7 +612,8 @@
     Advance(kSecond);
     CPPUNIT_ASSERT(All<ProbeTarget>(mEffects).empty());
     SetPolicy(mState, mNow, MakePolicy());
-    // Newcomers are met once the set of targets is still.
+    // New targets are probed once the set of targets has been stable for a
+    // while.
     Advance(2 * kSecond + 10 * kMillisecond);
     const auto probes = All<ProbeTarget>(mEffects);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), probes.size());
@@ -630,14 +637,15 @@
       mEffects.clear();
       Advance(10 * kMillisecond);
     }
-    // Ten seconds, ten targets, four a second, a tenth of it, and the burst.
+    // Ten seconds, ten targets, four probes a second each, a tenth of that for
+    // this host, plus the burst.
     CPPUNIT_ASSERT(mProbes <= 4 * 10 * 10 / 10 + 15);
     CPPUNIT_ASSERT(mProbes >= 20);
   }
 
-  // Late requests need room at several targets: one that told its load twice,
-  // the first time too long ago, was counted as two.
-  void TargetThatTellsItsLoadAgainCountsOnce()
+  // Late requests require capacity at several targets. A target that reported
+  // its load twice, the first report being too old, was counted as two.
+  void TargetThatReportsItsLoadAgainCountsOnce()
   {
     AddTargets(1);
     for (int i = 0; i < 3; ++i) {
@@ -646,10 +654,10 @@
     }
     AnswerProbe(Name(0), { 0, 0, 2, 1 });
     CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         mState.mServices["service"].mReported.size());
+                         mState.mServices["service"].mRecentReporters.size());
   }
 
-  void SubsetsOfManyHostsHoldEveryTargetAboutEquallyOften()
+  void SubsetsOfManyHostsIncludeEveryTargetAboutEquallyOften()
   {
     std::map<std::string, wire::TargetRecord> targets;
     for (int i = 0; i < 160; ++i) {
@@ -657,7 +665,7 @@
       record.set_data_centre("dc" + std::to_string(i % 4));
       targets[Name(i)] = record;
     }
-    std::map<std::string, int> held;
+    std::map<std::string, int> subsetCounts;
     for (int host = 0; host < 134; ++host) {
       State state;
       state.mHostId = "10.0.0." + std::to_string(host) + ":1";
@@ -667,11 +675,11 @@
       const auto& subset = state.mServices["service"].mSubset;
       CPPUNIT_ASSERT_EQUAL(std::size_t(12), subset.size());
       for (const std::string& id : subset) {
-        ++held[id];
+        ++subsetCounts[id];
       }
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(160), held.size());
-    for (const auto& [id, count] : held) {
+    CPPUNIT_ASSERT_EQUAL(std::size_t(160), subsetCounts.size());
+    for (const auto& [id, count] : subsetCounts) {
       CPPUNIT_ASSERT_MESSAGE(id, count >= 2 && count <= 24);
     }
   }
@@ -695,11 +703,11 @@
   {
     Arrival arrival;
     arrival.mPatience = aPatience;
-    arrival.mId = ++mLast;
-    arrival.mClientRequestId = "r" + std::to_string(mLast);
+    arrival.mId = ++mLastId;
+    arrival.mClientRequestId = "r" + std::to_string(mLastId);
     arrival.mHostName = "host";
     arrival.mPath = aPath;
-    dispatch::Arrive(mState, mNow, arrival, mEffects);
+    dispatch::HandleArrival(mState, mNow, arrival, mEffects);
   }
 
   void AnswerProbe(const std::string& aTarget, const Report& aReport)
@@ -717,10 +725,10 @@
     end.mHealthy = true;
     end.mAnsweredBy = aName;
     end.mReport = aReport;
-    TakeProbe(mState, mNow, end, mEffects);
+    HandleProbeEnd(mState, mNow, end, mEffects);
   }
 
-  // Every target that was asked says that it is empty and works as usual.
+  // Each probed target reports that it is idle and at usual speed.
   void AnswerProbes()
   {
     for (int round = 0; round < 3; ++round) {
@@ -738,7 +746,7 @@
     AnswerProbes();
     const auto sent = All<SendRequest>(mEffects);
     CPPUNIT_ASSERT(!sent.empty());
-    CPPUNIT_ASSERT_EQUAL(mLast, sent.back().mRequest);
+    CPPUNIT_ASSERT_EQUAL(mLastId, sent.back().mRequest);
     return sent.back();
   }
 
@@ -755,7 +763,7 @@
     end.mStatus = aStatus;
     end.mNotRun = aNotRun;
     end.mReport = aReport;
-    TakeEnd(mState, mNow, end, mEffects);
+    HandleAttemptEnd(mState, mNow, end, mEffects);
   }
 
   void EndWithBytes(const SendRequest& aSent, std::uint64_t aBytes)
@@ -767,7 +775,7 @@
     end.mKind = EndKind::Answered;
     end.mStatus = 200;
     end.mBytes = aBytes;
-    TakeEnd(mState, mNow, end, mEffects);
+    HandleAttemptEnd(mState, mNow, end, mEffects);
   }
 
   void Advance(Micros aTime)
@@ -782,7 +790,7 @@
   Micros mNow = kStart;
   State mState;
   Effects mEffects;
-  std::uint64_t mLast = 0;
+  std::uint64_t mLastId = 0;
   std::size_t mProbes = 0;
   std::map<std::string, wire::TargetRecord> mTargets;
 };
--- a/tests/dispatch_work_test.cpp
+++ b/tests/dispatch_work_test.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 using fakes::DispatchLoad;
-using fakes::DispatchTally;
+using fakes::DispatchOutcomes;
 using fakes::DispatchWorld;
 using fakes::ProcessorSeconds;
 
-/// Requests a second of a host that many clients come to at once, and of one
-/// that has its usual share.
-constexpr double kMany = 100;
-constexpr double kFew = 20;
+/// Requests a second of a host that gets an unusually large share of the
+/// clients, and of one with its usual share.
+constexpr double kHighRate = 100;
+constexpr double kUsualRate = 20;
 
-// Microseconds of processor time for each request at one host.
-double WorkOfARequest(int aTargets, double aPerSecond)
+// Microseconds of processor time per request at one host.
+double ProcessorTimePerRequest(int aTargets, double aPerSecond)
 {
   DispatchLoad load;
   load.mHosts = 1;
@@ -34,61 +34,62 @@
   DispatchWorld world(load, 7);
   world.AddTargets();
   const double start = ProcessorSeconds();
-  const DispatchTally tally = world.Play(5 * kSecond);
-  return 1e6 * (ProcessorSeconds() - start) / tally.mOffered;
+  const DispatchOutcomes outcomes = world.RunLoad(5 * kSecond);
+  return 1e6 * (ProcessorSeconds() - start) / outcomes.mOffered;
 }
 
 } // namespace
 
-// What callers saw: after a loss of power of all 476 hosts, those with a disk
-// answered a request a second late or not at all, two of six lost their leader
-// again and again, and sometimes the policy could not be read back.
+// Guards against processor overload after an outage of all 476 hosts: the hosts
+// with a disk answered requests a second late or not at all, two of six
+// repeatedly lost their leader, and the policy sometimes could not be read
+// back.
 //
-// Why: such a host takes twenty times its share of the requests, more than its
-// budget of probes lets it place at once. Each choice walked through all 735
-// targets of the service, for each waiting request, at each answer of a target.
+// Such a host gets twenty times its share of the requests, more than its probe
+// budget can place at once. Each choice scanned all 735 targets of the service,
+// for each waiting request, at each answer of a target.
 //
-// Evidence: lines `host_late` of these hosts: 117 events of connections in
-// 434 ms of the loop, rounds of 150 to 250 ms, and a message for the group that
-// waited 1,188 ms to be sent.
+// In the `host_late` lines of these hosts the event loop spent 434 ms on 117
+// connection events, rounds took 150 to 250 ms, and one consensus message was
+// delayed by 1,188 ms.
 class DispatchWorkTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DispatchWorkTest);
   CPPUNIT_TEST(WorkOfARequestHardlyGrowsWithTheTargets);
   CPPUNIT_TEST(WorkOfARequestHardlyGrowsWithThoseThatWait);
-  CPPUNIT_TEST(WorkOfARequestLeavesTimeForTheGroup);
+  CPPUNIT_TEST(CostOfARequestLeavesTimeForConsensus);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A tenth of the targets, a tenth of the work where all are looked at.
+  // With a scan of all targets, the cost per request would grow about tenfold
+  // with the targets.
   void WorkOfARequestHardlyGrowsWithTheTargets()
   {
-    const double few = WorkOfARequest(64, kMany);
-    const double many = WorkOfARequest(735, kMany);
+    const double few = ProcessorTimePerRequest(64, kHighRate);
+    const double many = ProcessorTimePerRequest(735, kHighRate);
     CPPUNIT_ASSERT_MESSAGE(
       std::to_string(many) + " us of " + std::to_string(few), many < 3 * few);
   }
 
-  // A host that has five times the requests may spend some more on each: more
-  // of them have to look twice.
+  // With five times the requests, each may cost somewhat more, because more
+  // requests are checked twice.
   void WorkOfARequestHardlyGrowsWithThoseThatWait()
   {
-    const double usual = WorkOfARequest(735, kFew);
-    const double busy = WorkOfARequest(735, kMany);
+    const double usual = ProcessorTimePerRequest(735, kUsualRate);
+    const double busy = ProcessorTimePerRequest(735, kHighRate);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us of " +
                              std::to_string(usual),
                            busy < 5 * usual);
   }
 
-  // A host of a quarter of a core that many clients come to, 160 a second,
-  // leaves three quarters of its processor to the group, to hosts and to
-  // connections.
-  void WorkOfARequestLeavesTimeForTheGroup()
+  // A host with a quarter of a core and 160 requests a second keeps three
+  // quarters of its processor time for consensus, peer hosts and connections.
+  void CostOfARequestLeavesTimeForConsensus()
   {
-    const double busy = WorkOfARequest(735, 160);
+    const double busy = ProcessorTimePerRequest(735, 160);
     constexpr double kCores = 0.25;
-    constexpr double kMost = 1e6 * kCores / 4 / 160;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us", busy < kMost);
+    constexpr double kMaxMicros = 1e6 * kCores / 4 / 160;
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(busy) + " us", busy < kMaxMicros);
   }
 };
 
