--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -70,7 +70,7 @@
   std::uint64_t mPolicySent = 0;
   /// When it was last told anything, and which word of the group.
   Micros mToldAt = 0;
-  Micros mWordTold = 0;
+  Micros mConfirmedSent = 0;
   std::uint64_t mHostsSequence = 0;
   Micros mSnapshotAt = 0;
   std::uint64_t mSnapshotIndex = 0;
@@ -202,7 +202,7 @@
   std::uint64_t mAllHostsSent = 0;
   std::uint64_t mReferrals = 0;
   /// Questions to control hosts for the group's word, while the own was old.
-  std::uint64_t mWordsAsked = 0;
+  std::uint64_t mConfirmationQueries = 0;
   /// Upstreams that fell silent, and such that gave way to a better one.
   std::uint64_t mUpstreamsLost = 0;
   std::uint64_t mUpstreamsLeft = 0;
@@ -288,14 +288,14 @@
   Micros mUpstreamSince = 0;
   Micros mUpstreamHeardAt = 0;
   /// When the word was given that the upstream last passed on.
-  Micros mUpstreamGoodAt = 0;
+  Micros mUpstreamConfirmedAt = 0;
   /// At a host without a vote: when the group's word was given that it acts by,
   /// and who told of it; 0 before the first one.
-  Micros mWordAt = 0;
-  std::string mWordFrom;
+  Micros mConfirmedAt = 0;
+  std::string mConfirmedBy;
   /// Control hosts asked for the word since it was old, and when the next is.
-  std::size_t mWordAsked = 0;
-  Micros mAskWordAt = 0;
+  std::size_t mConfirmationAttempts = 0;
+  Micros mQueryAt = 0;
   std::size_t mUpstreamTurn = 0;
   /// The upstream that would be better, while it is tried.
   std::string mNextUpstream;
@@ -315,7 +315,7 @@
   std::string mLeaderAddress;
   /// At a member of the group: when the leader's word was given as of which it
   /// last held all that was committed; 0 before.
-  Micros mCurrentAt = 0;
+  Micros mCaughtUpAt = 0;
   bool mInTouch = false;
 
   std::uint64_t mLastSubmit = 0;
@@ -402,14 +402,15 @@
 
 /// \brief True once this host has held all that the group had committed when it
 /// gave its word; from then on its catalog only moves forward.
-[[nodiscard]] bool HasGroupsWord(const State& aState, Micros aNow);
+[[nodiscard]] bool HasConfirmedCatalog(const State& aState, Micros aNow);
 
 /// \brief When a leader with a quorum gave the word that this host acts by; 0
 /// before the first one.
-[[nodiscard]] Micros WordAt(const State& aState, Micros aNow);
+[[nodiscard]] Micros ConfirmedAt(const State& aState, Micros aNow);
 
 /// \brief How old that word is; none before the first one.
-[[nodiscard]] std::optional<Micros> WordAge(const State& aState, Micros aNow);
+[[nodiscard]] std::optional<Micros> ConfirmationAge(const State& aState,
+                                                    Micros aNow);
 
 /// \brief How much of the control group is there; all zero without a disk.
 [[nodiscard]] GroupHealth HealthOf(const State& aState, Micros aNow);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -260,34 +260,35 @@
 {
   const bool votes = Votes(aState);
   const bool hears = votes ? !aState.mGroup.mLeader.empty() : aState.mInTouch;
-  const std::optional<Micros> age = WordAge(aState, aNow);
-  return hears && age && *age < (votes ? kLeaderPatience : kWordPatience);
+  const std::optional<Micros> age = ConfirmationAge(aState, aNow);
+  return hears && age &&
+         *age < (votes ? kLeaderPatience : kConfirmationTimeout);
 }
 
 // A learner is in touch through an upstream, while its catalog comes from the
 // log, which may lag behind.
-bool HasGroupsWord(const State& aState, Micros aNow)
+bool HasConfirmedCatalog(const State& aState, Micros aNow)
 {
   const bool learns = IsControlMember(aState) && !Votes(aState);
-  return learns ? aState.mCurrentAt > 0 : IsInTouch(aState, aNow);
+  return learns ? aState.mCaughtUpAt > 0 : IsInTouch(aState, aNow);
 }
 
-Micros WordAt(const State& aState, Micros aNow)
+Micros ConfirmedAt(const State& aState, Micros aNow)
 {
   if (!Votes(aState)) {
-    return aState.mWordAt;
+    return aState.mConfirmedAt;
   }
   if (!consensus::IsLeader(aState.mGroup)) {
-    return aState.mCurrentAt;
+    return aState.mCaughtUpAt;
   }
   return consensus::IsCurrent(aState.mGroup)
            ? consensus::WordAt(aState.mGroup, aNow)
            : 0;
 }
 
-std::optional<Micros> WordAge(const State& aState, Micros aNow)
+std::optional<Micros> ConfirmationAge(const State& aState, Micros aNow)
 {
-  const Micros wordAt = WordAt(aState, aNow);
+  const Micros wordAt = ConfirmedAt(aState, aNow);
   return wordAt == 0 ? std::nullopt : std::optional<Micros>(aNow - wordAt);
 }
 
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -19,7 +19,7 @@
 
 // What a control host says of the group it has from itself; a relay has news of
 // it only once its own upstream has told it, and passes these on by itself.
-bool WaitsForWord(const State& aState, Micros aNow, const Follower& aFollower)
+bool CanSkipReply(const State& aState, Micros aNow, const Follower& aFollower)
 {
   return !Votes(aState) && !Lacks(aState, aFollower) &&
          !aFollower.mHostsDiffer && aFollower.mHostsSequence != 0 &&
@@ -141,7 +141,7 @@
   follower.mHostsDiffer = ours && aMessage.hosts_digest() != 0 &&
                           aMessage.hosts_sequence() == aState.mHostsSequence &&
                           aMessage.hosts_digest() != DigestOfAll(aState, aFrom);
-  if (!WaitsForWord(aState, aNow, follower)) {
+  if (!CanSkipReply(aState, aNow, follower)) {
     SendReply(aState, aNow, aFrom, follower, aOut);
   }
 }
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -278,7 +278,7 @@
           " known=" + std::to_string(aState.mHosts.size()) +
           " upstream=" + aState.mUpstream });
   }
-  const Micros wordAt = WordAtOf(aMessage, aNow);
+  const Micros wordAt = ConfirmedAtOf(aMessage, aNow);
   for (auto& [address, host] : aState.mHosts) {
     host.mHeardAt =
       host.mGone ? host.mHeardAt : std::max(host.mHeardAt, wordAt);
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -114,15 +114,18 @@
 // --- word.cpp: how old the group's word is that a host acts by
 /// \brief Says in a reply up to where the sender's catalog goes and how old the
 /// group's word on it is.
-void WriteWord(const State& aState, Micros aNow, wire::FollowReply& aReply);
+void WriteConfirmation(const State& aState,
+                       Micros aNow,
+                       wire::FollowReply& aReply);
 /// \brief Takes the word of a reply whose commands were taken; true where it is
 /// newer than what was known.
-[[nodiscard]] bool TakeWord(State& aState,
-                            Micros aNow,
-                            const std::string& aFrom,
-                            const wire::FollowReply& aMessage);
+[[nodiscard]] bool UpdateConfirmation(State& aState,
+                                      Micros aNow,
+                                      const std::string& aFrom,
+                                      const wire::FollowReply& aMessage);
 /// \brief When the word of a reply was given.
-[[nodiscard]] Micros WordAtOf(const wire::FollowReply& aMessage, Micros aNow);
+[[nodiscard]] Micros ConfirmedAtOf(const wire::FollowReply& aMessage,
+                                   Micros aNow);
 /// \brief Asks the next control host for the word, when the own one is old.
 void AskForWord(State& aState, Micros aNow, Output& aOut);
 /// \brief Notes that a control host answered such a question.
@@ -180,7 +183,7 @@
                 Output& aOut);
 /// \brief At a relay: tells followers a newer word of the group, once in a
 /// report's time.
-void PassWordOn(State& aState, Micros aNow, Output& aOut);
+void ForwardConfirmation(State& aState, Micros aNow, Output& aOut);
 /// \brief Sends followers what they lack of commands and of urgent changes of
 /// hosts.
 void PushToFollowers(State& aState, Micros aNow, Output& aOut);
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -141,7 +141,7 @@
   wire::FollowReply& reply = *message.mutable_follow_reply();
   reply.set_once(true);
   FillWithoutSnapshot(aState, aNow, aMessage, reply);
-  WriteWord(aState, aNow, reply);
+  WriteConfirmation(aState, aNow, reply);
   WriteControlWord(aState, aNow, reply);
   SendTo(aState, aFrom, std::move(message), aOut);
 }
@@ -155,9 +155,9 @@
   wire::FleetMessage message;
   wire::FollowReply& reply = *message.mutable_follow_reply();
   aFollower.mToldAt = aNow;
-  aFollower.mWordTold = WordAt(aState, aNow);
+  aFollower.mConfirmedSent = ConfirmedAt(aState, aNow);
   FillCommands(aState, aNow, aFollower, reply);
-  WriteWord(aState, aNow, reply);
+  WriteConfirmation(aState, aNow, reply);
   WriteControlWord(aState, aNow, reply);
   for (const std::string& address : aState.mRoute) {
     reply.add_route(address);
@@ -168,10 +168,10 @@
   SendTo(aState, aTo, std::move(message), aOut);
 }
 
-void PassWordOn(State& aState, Micros aNow, Output& aOut)
+void ForwardConfirmation(State& aState, Micros aNow, Output& aOut)
 {
   for (auto& [address, follower] : aState.mFollowers) {
-    if (aState.mWordAt - follower.mWordTold >= kFollowInterval / 2) {
+    if (aState.mConfirmedAt - follower.mConfirmedSent >= kFollowInterval / 2) {
       SendReply(aState, aNow, address, follower, aOut);
     }
   }
--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -52,7 +52,7 @@
 /// election takes up to twice as long.
 constexpr Micros kLeaderPatience = 1000 * kMillisecond;
 /// \brief The same at other hosts, to which the word comes later.
-constexpr Micros kWordPatience = kUpstreamPatience + kFollowInterval;
+constexpr Micros kConfirmationTimeout = kUpstreamPatience + kFollowInterval;
 /// \brief A snapshot that was not taken is sent again after this time: a slow
 /// link carries one in it. The policy does not wait for it.
 constexpr Micros kSnapshotRetry = 800 * kMillisecond;
@@ -78,7 +78,7 @@
 }
 
 /// \brief Oldest word that a host of a level has, with nothing wrong.
-constexpr Micros UsualWordAge() noexcept
+constexpr Micros UsualConfirmationAge() noexcept
 {
   return kCommitHeard + kFollowInterval;
 }
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -34,9 +34,9 @@
 {
   const Micros since = aState.mUpstreamSince;
   const Micros heardAt = std::max(aState.mUpstreamHeardAt, since);
-  const Micros goodAt = std::max(aState.mUpstreamGoodAt, since);
+  const Micros goodAt = std::max(aState.mUpstreamConfirmedAt, since);
   const bool isBehind = aNow - goodAt > kUpstreamPatience &&
-                        aState.mWordAt > goodAt + kFollowInterval;
+                        aState.mConfirmedAt > goodAt + kFollowInterval;
   return !aState.mUpstream.empty() && !isBehind &&
          aNow - heardAt <= kUpstreamPatience;
 }
@@ -44,11 +44,11 @@
 // The control host that told the newest word is certain to be there.
 std::string NextControl(const State& aState, Micros aNow)
 {
-  const std::string& teller = aState.mWordFrom;
+  const std::string& teller = aState.mConfirmedBy;
   const bool answers = teller != aState.mUpstream &&
                        HoldsControlAddress(aState, teller) &&
                        !IsSuspect(aState, teller, aNow) &&
-                       aNow - aState.mWordAt < kUpstreamPatience;
+                       aNow - aState.mConfirmedAt < kUpstreamPatience;
   return answers ? teller : PreferredControl(aState, aNow);
 }
 
@@ -65,7 +65,7 @@
       "event=upstream_lost upstream=" + last + " next=" + next + " silent_ms=" +
         std::to_string((aNow - aState.mUpstreamHeardAt) / kMillisecond) +
         " out_of_touch_ms=" +
-        std::to_string((aNow - aState.mUpstreamGoodAt) / kMillisecond) +
+        std::to_string((aNow - aState.mUpstreamConfirmedAt) / kMillisecond) +
         " relays=" + std::to_string(aState.mRoute.size()) });
   if (!next.empty()) {
     SetUpstream(aState, next, aNow);
@@ -265,8 +265,8 @@
   NoteInTouch(aState, aMessage.in_touch(), aOut);
   aState.mUpstreamHeardAt = aNow;
   if (aMessage.in_touch()) {
-    aState.mUpstreamGoodAt =
-      std::max(aState.mUpstreamGoodAt, WordAtOf(aMessage, aNow));
+    aState.mUpstreamConfirmedAt =
+      std::max(aState.mUpstreamConfirmedAt, ConfirmedAtOf(aMessage, aNow));
   }
   aState.mRoute.assign(aMessage.route().begin(), aMessage.route().end());
   aState.mRoute.push_back(aState.mUpstream);
@@ -278,7 +278,7 @@
 {
   PushNews(aState, aNow, aOut);
   if (aNewerWord) {
-    PassWordOn(aState, aNow, aOut);
+    ForwardConfirmation(aState, aNow, aOut);
   }
 }
 
@@ -377,8 +377,8 @@
 // replaced, which seeds tell. None sends its catalog before it is followed.
 void KeepUpstream(State& aState, Micros aNow, Output& aOut)
 {
-  const Micros heardAt = std::max(aState.mUpstreamHeardAt, aState.mWordAt);
-  if (aState.mInTouch && aNow - heardAt >= kWordPatience) {
+  const Micros heardAt = std::max(aState.mUpstreamHeardAt, aState.mConfirmedAt);
+  if (aState.mInTouch && aNow - heardAt >= kConfirmationTimeout) {
     NoteInTouch(aState, false, aOut);
   }
   if (!aState.mInTouch) {
@@ -427,16 +427,17 @@
     TakeReferral(aState, aNow, aFrom, aMessage.refer_to(), aOut);
     return;
   }
-  const bool newer = TakeWord(aState, aNow, aFrom, aMessage);
+  const bool newer = UpdateConfirmation(aState, aNow, aFrom, aMessage);
   if (aMessage.once()) {
     TakeAnswer(aState, aNow);
     (void)TakeControlWord(aState, aMessage);
     TellFollowers(aState, aNow, newer, aOut);
     return;
   }
-  const bool current = aMessage.in_touch() &&
-                       aMessage.control_term() >= aState.mControlDate.mTerm &&
-                       aNow - WordAtOf(aMessage, aNow) <= kUpstreamPatience;
+  const bool current =
+    aMessage.in_touch() &&
+    aMessage.control_term() >= aState.mControlDate.mTerm &&
+    aNow - ConfirmedAtOf(aMessage, aNow) <= kUpstreamPatience;
   if (current && aFrom == aState.mNextUpstream) {
     MoveToNextUpstream(aState, aNow, aOut);
   } else if (current && !aState.mInTouch) {
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -48,7 +48,8 @@
 
 void NoteAsking(const State& aState, Micros aNow, Output& aOut)
 {
-  const Micros age = aNow - std::max(aState.mWordAt, aState.mUpstreamSince);
+  const Micros age =
+    aNow - std::max(aState.mConfirmedAt, aState.mUpstreamSince);
   aOut.mNotes.push_back(
     { 1,
       "event=word_late age_ms=" + std::to_string(age / kMillisecond) +
@@ -59,37 +60,39 @@
 
 } // namespace
 
-void WriteWord(const State& aState, Micros aNow, wire::FollowReply& aReply)
+void WriteConfirmation(const State& aState,
+                       Micros aNow,
+                       wire::FollowReply& aReply)
 {
   aReply.set_in_touch(IsInTouch(aState, aNow));
   aReply.set_news_index(LastNews(aState));
-  if (const std::optional<Micros> age = WordAge(aState, aNow)) {
+  if (const std::optional<Micros> age = ConfirmationAge(aState, aNow)) {
     aReply.set_word_age_ms(static_cast<std::uint32_t>(*age / kMillisecond));
   }
 }
 
-Micros WordAtOf(const wire::FollowReply& aMessage, Micros aNow)
+Micros ConfirmedAtOf(const wire::FollowReply& aMessage, Micros aNow)
 {
   return aNow - static_cast<Micros>(aMessage.word_age_ms()) * kMillisecond;
 }
 
-bool TakeWord(State& aState,
-              Micros aNow,
-              const std::string& aFrom,
-              const wire::FollowReply& aMessage)
+bool UpdateConfirmation(State& aState,
+                        Micros aNow,
+                        const std::string& aFrom,
+                        const wire::FollowReply& aMessage)
 {
   const bool old = aMessage.control_term() < aState.mControlDate.mTerm;
   const bool lacks =
     !IsControlMember(aState) && aMessage.news_index() > aState.mApplied;
-  const Micros wordAt = WordAtOf(aMessage, aNow);
-  if (!aMessage.in_touch() || old || lacks || wordAt <= aState.mWordAt) {
+  const Micros wordAt = ConfirmedAtOf(aMessage, aNow);
+  if (!aMessage.in_touch() || old || lacks || wordAt <= aState.mConfirmedAt) {
     return false;
   }
-  aState.mWordAt = wordAt;
-  aState.mWordFrom = aFrom;
+  aState.mConfirmedAt = wordAt;
+  aState.mConfirmedBy = aFrom;
   if (aNow - wordAt < kAskAfter) {
-    aState.mWordAsked = 0;
-    aState.mAskWordAt = 0;
+    aState.mConfirmationAttempts = 0;
+    aState.mQueryAt = 0;
   }
   return true;
 }
@@ -98,8 +101,8 @@
 // reports: the group may have no leader, and every host asks then.
 void TakeAnswer(State& aState, Micros aNow)
 {
-  if (aState.mWordAsked > 0) {
-    aState.mAskWordAt = std::max(aState.mAskWordAt, aNow + kFollowInterval);
+  if (aState.mConfirmationAttempts > 0) {
+    aState.mQueryAt = std::max(aState.mQueryAt, aNow + kFollowInterval);
   }
 }
 
@@ -109,8 +112,8 @@
     return std::numeric_limits<Micros>::max();
   }
   const Micros since =
-    aState.mWordAt != 0 ? aState.mWordAt : aState.mUpstreamSince;
-  return std::max(since + AgeToAskAt(aState), aState.mAskWordAt);
+    aState.mConfirmedAt != 0 ? aState.mConfirmedAt : aState.mUpstreamSince;
+  return std::max(since + AgeToAskAt(aState), aState.mQueryAt);
 }
 
 void AskForWord(State& aState, Micros aNow, Output& aOut)
@@ -119,18 +122,18 @@
     return;
   }
   const std::vector<std::string> control = ControlHostsInOrder(aState, aNow);
-  if (aState.mWordAsked == 0) {
+  if (aState.mConfirmationAttempts == 0) {
     NoteAsking(aState, aNow, aOut);
   }
-  const std::size_t turn = aState.mWordAsked++;
-  aState.mAskWordAt =
+  const std::size_t turn = aState.mConfirmationAttempts++;
+  aState.mQueryAt =
     aNow +
     std::min(kMostAskPause,
              kAskPause << static_cast<int>(std::min<std::size_t>(turn, 8)));
   if (control.empty()) {
     return;
   }
-  ++aState.mTraffic.mWordsAsked;
+  ++aState.mTraffic.mConfirmationQueries;
   wire::FleetMessage message;
   *message.mutable_follow() = OwnFollow(aState, aNow);
   message.mutable_follow()->set_once(true);
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -124,7 +124,7 @@
   counters["commands_sent"] = traffic.mCommandsSent;
   counters["host_lists_sent"] = traffic.mAllHostsSent;
   counters["referrals"] = traffic.mReferrals;
-  counters["words_asked"] = traffic.mWordsAsked;
+  counters["words_asked"] = traffic.mConfirmationQueries;
   counters["upstreams_lost"] = traffic.mUpstreamsLost;
   counters["upstreams_left"] = traffic.mUpstreamsLeft;
   counters["joins_refused"] = traffic.mJoinsRefused;
@@ -137,7 +137,8 @@
     counters["peer_messages_replaced"] = mPeerInbox.Replaced();
   }
   mLoad.Count(counters);
-  if (const std::optional<Micros> age = fleet::WordAge(mState.mFleet, mNow)) {
+  if (const std::optional<Micros> age =
+        fleet::ConfirmationAge(mState.mFleet, mNow)) {
     gauges["group_word_age_seconds"] = static_cast<double>(*age) / kSecond;
   }
   gauges["in_touch"] = fleet::IsInTouch(mState.mFleet, mNow) ? 1 : 0;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -66,8 +66,9 @@
     "event=policy_in_force version=" + std::to_string(catalog.mVersion) +
       " routes=" + std::to_string(routes) +
       " upstream=" + state.mFleet.mUpstream + " word_age_ms=" +
-      std::to_string(fleet::WordAge(state.mFleet, aContext.mNow).value_or(0) /
-                     kMillisecond));
+      std::to_string(
+        fleet::ConfirmationAge(state.mFleet, aContext.mNow).value_or(0) /
+        kMillisecond));
   if (!state.mStopping) {
     fleet::SetReady(state.mFleet, aContext.mNow, true, aFleet);
   }
@@ -124,7 +125,7 @@
 {
   State& state = aContext.mState;
   if (!state.mHoldsPolicy ||
-      !fleet::HasGroupsWord(state.mFleet, aContext.mNow)) {
+      !fleet::HasConfirmedCatalog(state.mFleet, aContext.mNow)) {
     return;
   }
   state.mHoldsPolicy = false;
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -58,7 +58,7 @@
                      const State& aState,
                      Micros aNow)
 {
-  const std::optional<Micros> age = fleet::WordAge(aState.mFleet, aNow);
+  const std::optional<Micros> age = fleet::ConfirmationAge(aState.mFleet, aNow);
   return "answered_by=" + aRead.mLeader +
          " tries=" + std::to_string(aRead.mTries) +
          " took_ms=" + std::to_string(aRead.mTook / kMillisecond) +
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -36,7 +36,7 @@
 public:
   void WaitsOnTheWayAddUpToHalfOfThePromise()
   {
-    CPPUNIT_ASSERT(UsualWordAge() < kAskAfter);
+    CPPUNIT_ASSERT(UsualConfirmationAge() < kAskAfter);
     for (int level = 1; level <= kMostLevels; ++level) {
       CPPUNIT_ASSERT(UndisturbedTime(level) <= kAim);
       CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
@@ -56,7 +56,8 @@
         mWorld.Advance(10 * kMillisecond);
         for (const std::string& address : mWorld.Addresses()) {
           const State& state = mWorld.Node(address).mState;
-          oldest = std::max(oldest, mWorld.mNow - WordAt(state, mWorld.mNow));
+          oldest =
+            std::max(oldest, mWorld.mNow - ConfirmedAt(state, mWorld.mNow));
         }
       }
       CPPUNIT_ASSERT_MESSAGE(std::to_string(oldest), oldest < kAskAfter);
@@ -79,7 +80,7 @@
     };
     const Micros cutAt = mWorld.mNow;
     mWorld.Advance(kLeaderPatience);
-    const Micros wordAt = WordAt(mWorld.Node(with).mState, mWorld.mNow);
+    const Micros wordAt = ConfirmedAt(mWorld.Node(with).mState, mWorld.mNow);
     CPPUNIT_ASSERT(wordAt <= cutAt + kCommitHeard);
     mWorld.Advance(kCommitHeard);
     CPPUNIT_ASSERT(!IsInTouch(mWorld.Node(with).mState, mWorld.mNow));
