--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -157,7 +157,7 @@
   }
   AcceptWaitingOffer(aState, aNow, aOut);
   AskWhoIsInTouch(aState, aNow, aOut);
-  AskForWord(aState, aNow, aOut);
+  QueryConfirmation(aState, aNow, aOut);
   RetryPending(aState, aNow, aOut);
   TellThoseWhoAsked(aState, aNow, aOut);
   TellNeighbours(aState, aNow, aOut);
@@ -332,7 +332,7 @@
     next = std::min(next, aState.mPushAt);
   }
   next = std::min(next, gossip::NextTick(aState.mGossip));
-  return std::min({ next, NextUpstreamTime(aState), NextAskTime(aState) });
+  return std::min({ next, NextUpstreamTime(aState), NextQueryTime(aState) });
 }
 
 } // namespace geraniumpond::fleet
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -206,7 +206,7 @@
   // says of itself counts.
   TellOfHosts(aState, aNow, aOut);
   if (aMessage.once() && Votes(aState)) {
-    AnswerOnce(aState, aNow, aFrom, aMessage, aOut);
+    AnswerQuery(aState, aNow, aFrom, aMessage, aOut);
     return;
   }
   if (aMessage.votes() || !Votes(aState)) {
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -127,10 +127,10 @@
 [[nodiscard]] Micros ConfirmedAtOf(const wire::FollowReply& aMessage,
                                    Micros aNow);
 /// \brief Asks the next control host for the word, when the own one is old.
-void AskForWord(State& aState, Micros aNow, Output& aOut);
+void QueryConfirmation(State& aState, Micros aNow, Output& aOut);
 /// \brief Notes that a control host answered such a question.
-void TakeAnswer(State& aState, Micros aNow);
-[[nodiscard]] Micros NextAskTime(const State& aState) noexcept;
+void HandleQueryAnswer(State& aState, Micros aNow);
+[[nodiscard]] Micros NextQueryTime(const State& aState) noexcept;
 
 // --- following.cpp: who follows this host
 void SendFollows(State& aState, Micros aNow, Output& aOut);
@@ -176,11 +176,11 @@
                Follower& aFollower,
                Output& aOut);
 /// \brief Answers a host that asks for the group's word and stays where it is.
-void AnswerOnce(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Follow& aMessage,
-                Output& aOut);
+void AnswerQuery(State& aState,
+                 Micros aNow,
+                 const std::string& aFrom,
+                 const wire::Follow& aMessage,
+                 Output& aOut);
 /// \brief At a relay: tells followers a newer word of the group, once in a
 /// report's time.
 void ForwardConfirmation(State& aState, Micros aNow, Output& aOut);
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -131,11 +131,11 @@
   FillCommands(aState, aNow, once, aReply);
 }
 
-void AnswerOnce(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Follow& aMessage,
-                Output& aOut)
+void AnswerQuery(State& aState,
+                 Micros aNow,
+                 const std::string& aFrom,
+                 const wire::Follow& aMessage,
+                 Output& aOut)
 {
   wire::FleetMessage message;
   wire::FollowReply& reply = *message.mutable_follow_reply();
--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -30,15 +30,15 @@
 
 /// \brief Age of the group's word at which a host asks a control host for it:
 /// longer than the paces of heartbeats and words together.
-constexpr Micros kAskAfter = 600 * kMillisecond;
+constexpr Micros kQueryAfter = 600 * kMillisecond;
 /// \brief A host asks later by this time for each level above it: what its
 /// upstream is told meanwhile reaches it without a question.
-constexpr Micros kAskStagger = 50 * kMillisecond;
+constexpr Micros kQueryStagger = 50 * kMillisecond;
 /// \brief Pause before the next control host is asked; it doubles with each.
-constexpr Micros kAskPause = 50 * kMillisecond;
+constexpr Micros kQueryPause = 50 * kMillisecond;
 /// \brief Longest pause between questions: control hosts tell those who asked
 /// by themselves as soon as they are in touch.
-constexpr Micros kMostAskPause = 4 * kFollowInterval;
+constexpr Micros kMaxQueryPause = 4 * kFollowInterval;
 /// \brief Time for a question and its answer, at a busy control host.
 constexpr Micros kAnswerTime = 100 * kMillisecond;
 
@@ -87,9 +87,9 @@
 /// where some of the control hosts that it asks are lost.
 constexpr Micros DisturbedTime(int aLevel, int aLostControlHosts) noexcept
 {
-  Micros time = kAskAfter + aLevel * kAskStagger;
+  Micros time = kQueryAfter + aLevel * kQueryStagger;
   for (int i = 0; i < aLostControlHosts; ++i) {
-    time += kAskPause << i;
+    time += kQueryPause << i;
   }
   return time + kAnswerTime;
 }
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -351,7 +351,7 @@
     return;
   }
   const Micros pause =
-    std::clamp(2 * aState.mAskPause, kFollowInterval, kMostAskPause);
+    std::clamp(2 * aState.mAskPause, kFollowInterval, kMaxQueryPause);
   const auto jitter =
     static_cast<Micros>(Weight(aState, std::to_string(aNow)) %
                         static_cast<std::uint64_t>(pause / 4));
@@ -429,7 +429,7 @@
   }
   const bool newer = UpdateConfirmation(aState, aNow, aFrom, aMessage);
   if (aMessage.once()) {
-    TakeAnswer(aState, aNow);
+    HandleQueryAnswer(aState, aNow);
     (void)TakeControlWord(aState, aMessage);
     TellFollowers(aState, aNow, newer, aOut);
     return;
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -36,17 +36,18 @@
 }
 
 // A learner's catalog comes from the log.
-bool AsksForWord(const State& aState) noexcept
+bool CanQuery(const State& aState) noexcept
 {
   return aState.mInTouch && !IsControlMember(aState);
 }
 
-Micros AgeToAskAt(const State& aState) noexcept
+Micros QueryAge(const State& aState) noexcept
 {
-  return kAskAfter + static_cast<Micros>(aState.mRoute.size()) * kAskStagger;
+  return kQueryAfter +
+         static_cast<Micros>(aState.mRoute.size()) * kQueryStagger;
 }
 
-void NoteAsking(const State& aState, Micros aNow, Output& aOut)
+void LogQuery(const State& aState, Micros aNow, Output& aOut)
 {
   const Micros age =
     aNow - std::max(aState.mConfirmedAt, aState.mUpstreamSince);
@@ -90,7 +91,7 @@
   }
   aState.mConfirmedAt = wordAt;
   aState.mConfirmedBy = aFrom;
-  if (aNow - wordAt < kAskAfter) {
+  if (aNow - wordAt < kQueryAfter) {
     aState.mConfirmationAttempts = 0;
     aState.mQueryAt = 0;
   }
@@ -99,37 +100,37 @@
 
 // Control hosts that have nothing newer themselves are asked at the pace of
 // reports: the group may have no leader, and every host asks then.
-void TakeAnswer(State& aState, Micros aNow)
+void HandleQueryAnswer(State& aState, Micros aNow)
 {
   if (aState.mConfirmationAttempts > 0) {
     aState.mQueryAt = std::max(aState.mQueryAt, aNow + kFollowInterval);
   }
 }
 
-Micros NextAskTime(const State& aState) noexcept
+Micros NextQueryTime(const State& aState) noexcept
 {
-  if (!AsksForWord(aState)) {
+  if (!CanQuery(aState)) {
     return std::numeric_limits<Micros>::max();
   }
   const Micros since =
     aState.mConfirmedAt != 0 ? aState.mConfirmedAt : aState.mUpstreamSince;
-  return std::max(since + AgeToAskAt(aState), aState.mQueryAt);
+  return std::max(since + QueryAge(aState), aState.mQueryAt);
 }
 
-void AskForWord(State& aState, Micros aNow, Output& aOut)
+void QueryConfirmation(State& aState, Micros aNow, Output& aOut)
 {
-  if (!AsksForWord(aState) || aNow < NextAskTime(aState)) {
+  if (!CanQuery(aState) || aNow < NextQueryTime(aState)) {
     return;
   }
   const std::vector<std::string> control = ControlHostsInOrder(aState, aNow);
   if (aState.mConfirmationAttempts == 0) {
-    NoteAsking(aState, aNow, aOut);
+    LogQuery(aState, aNow, aOut);
   }
   const std::size_t turn = aState.mConfirmationAttempts++;
   aState.mQueryAt =
     aNow +
-    std::min(kMostAskPause,
-             kAskPause << static_cast<int>(std::min<std::size_t>(turn, 8)));
+    std::min(kMaxQueryPause,
+             kQueryPause << static_cast<int>(std::min<std::size_t>(turn, 8)));
   if (control.empty()) {
     return;
   }
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -36,7 +36,7 @@
 public:
   void WaitsOnTheWayAddUpToHalfOfThePromise()
   {
-    CPPUNIT_ASSERT(UsualConfirmationAge() < kAskAfter);
+    CPPUNIT_ASSERT(UsualConfirmationAge() < kQueryAfter);
     for (int level = 1; level <= kMostLevels; ++level) {
       CPPUNIT_ASSERT(UndisturbedTime(level) <= kAim);
       CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
@@ -60,7 +60,7 @@
             std::max(oldest, mWorld.mNow - ConfirmedAt(state, mWorld.mNow));
         }
       }
-      CPPUNIT_ASSERT_MESSAGE(std::to_string(oldest), oldest < kAskAfter);
+      CPPUNIT_ASSERT_MESSAGE(std::to_string(oldest), oldest < kQueryAfter);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), mWorld.WordsAsked());
     }
   }
