--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -309,9 +309,9 @@
   Micros mAcceptedAt = 0;
   /// Out of touch: when the next host is asked who is in touch, those that were
   /// asked in this round, and the pause after it.
-  Micros mAskAt = 0;
-  std::set<std::string> mAsked;
-  Micros mAskPause = 0;
+  Micros mDiscoverAt = 0;
+  std::set<std::string> mDiscoveryAsked;
+  Micros mDiscoveryPause = 0;
   std::string mLeaderAddress;
   /// At a member of the group: when the leader's word was given as of which it
   /// last held all that was committed; 0 before.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -156,7 +156,7 @@
     PushToFollowers(aState, aNow, aOut);
   }
   AcceptWaitingOffer(aState, aNow, aOut);
-  AskWhoIsInTouch(aState, aNow, aOut);
+  DiscoverUpstream(aState, aNow, aOut);
   QueryConfirmation(aState, aNow, aOut);
   RetryPending(aState, aNow, aOut);
   TellThoseWhoAsked(aState, aNow, aOut);
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -104,7 +104,7 @@
 /// has not answered in time.
 void AcceptWaitingOffer(State& aState, Micros aNow, Output& aOut);
 /// \brief Out of touch: asks the next host who is in touch, when it is time.
-void AskWhoIsInTouch(State& aState, Micros aNow, Output& aOut);
+void DiscoverUpstream(State& aState, Micros aNow, Output& aOut);
 [[nodiscard]] Micros NextUpstreamTime(const State& aState) noexcept;
 void SetUpstream(State& aState, const std::string& aAddress, Micros aNow);
 void NoteInTouch(State& aState, bool aInTouch, Output& aOut);
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -26,7 +26,7 @@
 /// Pause before the next host is asked who is in touch: a few trips, so that a
 /// host that is not back yet costs its askers little; questions are answered
 /// after all else, so that those of 470 hosts delay nothing.
-constexpr Micros kAskStep = 30 * kMillisecond;
+constexpr Micros kDiscoveryStep = 30 * kMillisecond;
 
 // Where the word that the upstream passes on is old, others may be no better
 // off: it is left once another host has told a newer one.
@@ -228,8 +228,8 @@
   }
   const bool news = TakeControlWord(aState, aMessage);
   if (news && !aState.mInTouch && aState.mAcceptedAt == 0) {
-    aState.mAskAt = aNow;
-    AskWhoIsInTouch(aState, aNow, aOut);
+    aState.mDiscoverAt = aNow;
+    DiscoverUpstream(aState, aNow, aOut);
   }
 }
 
@@ -304,10 +304,10 @@
                               " upstream=" + aState.mUpstream });
   }
   aState.mInTouch = aInTouch;
-  aState.mAskPause = aInTouch ? 0 : aState.mAskPause;
-  aState.mAskAt = aInTouch ? 0 : aState.mAskAt;
+  aState.mDiscoveryPause = aInTouch ? 0 : aState.mDiscoveryPause;
+  aState.mDiscoverAt = aInTouch ? 0 : aState.mDiscoverAt;
   if (aInTouch) {
-    aState.mAsked.clear();
+    aState.mDiscoveryAsked.clear();
   }
   aState.mAcceptedAt = aInTouch ? 0 : aState.mAcceptedAt;
   aState.mRebalanceAt = aInTouch ? aState.mRebalanceAt : 0;
@@ -328,36 +328,36 @@
 
 // Those of the own data centre first, where that is known; the order of the
 // others is each host's own.
-void AskWhoIsInTouch(State& aState, Micros aNow, Output& aOut)
+void DiscoverUpstream(State& aState, Micros aNow, Output& aOut)
 {
-  if (aState.mInTouch || Votes(aState) || aNow < aState.mAskAt) {
+  if (aState.mInTouch || Votes(aState) || aNow < aState.mDiscoverAt) {
     return;
   }
   std::vector<std::string> near;
   std::vector<std::string> others;
   for (const std::string& address : ControlAndSeeds(aState)) {
-    if (aState.mAsked.count(address) == 0 &&
+    if (aState.mDiscoveryAsked.count(address) == 0 &&
         address != aState.mSettings.mPeerAddress) {
       (IsNear(aState, address) ? near : others).push_back(address);
     }
   }
   const std::string next = Heaviest(aState, near.empty() ? others : near);
   if (!next.empty()) {
-    aState.mAsked.insert(next);
-    aState.mAskAt = aNow + kAskStep;
+    aState.mDiscoveryAsked.insert(next);
+    aState.mDiscoverAt = aNow + kDiscoveryStep;
     wire::Follow follow = OwnFollow(aState, aNow);
     follow.set_brief(true);
     SendFollow(aState, next, std::move(follow), aOut);
     return;
   }
   const Micros pause =
-    std::clamp(2 * aState.mAskPause, kFollowInterval, kMaxQueryPause);
+    std::clamp(2 * aState.mDiscoveryPause, kFollowInterval, kMaxQueryPause);
   const auto jitter =
     static_cast<Micros>(Weight(aState, std::to_string(aNow)) %
                         static_cast<std::uint64_t>(pause / 4));
-  aState.mAsked.clear();
-  aState.mAskPause = pause;
-  aState.mAskAt = aNow + pause - jitter;
+  aState.mDiscoveryAsked.clear();
+  aState.mDiscoveryPause = pause;
+  aState.mDiscoverAt = aNow + pause - jitter;
 }
 
 Micros NextUpstreamTime(const State& aState) noexcept
@@ -367,7 +367,7 @@
     next = std::min(next, aState.mAcceptAt);
   }
   if (!aState.mInTouch && !Votes(aState)) {
-    next = std::min(next, aState.mAskAt);
+    next = std::min(next, aState.mDiscoverAt);
   }
   return next;
 }
@@ -382,7 +382,7 @@
     NoteInTouch(aState, false, aOut);
   }
   if (!aState.mInTouch) {
-    AskWhoIsInTouch(aState, aNow, aOut);
+    DiscoverUpstream(aState, aNow, aOut);
     return;
   }
   if (!HasGoodUpstream(aState, aNow)) {
