--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -268,7 +268,7 @@
   /// Last change taken from the upstream, and the upstream's incarnation.
   std::uint64_t mUpstreamSequence = 0;
   std::uint64_t mUpstreamIncarnation = 0;
-  int mFollowTurn = 0;
+  int mReportCount = 0;
   /// Last change that the own directory was told of.
   std::uint64_t mHostsTold = 0;
   /// Last change that the other control hosts were told of.
@@ -328,7 +328,7 @@
 
   Traffic mTraffic;
 
-  Micros mFollowAt = 0;
+  Micros mReportAt = 0;
   Micros mJoinAt = 0;
   /// At a leader that stops: when it tries again to hand over its lead.
   Micros mHandOverAt = 0;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -131,7 +131,7 @@
   // An answer to a command of an earlier life of this host ends none of this.
   state.mLastSubmit = aRandom;
   RefreshOwnHost(state, aNow);
-  state.mFollowAt = aNow;
+  state.mReportAt = aNow;
   Tick(state, aNow, aRandom, aOut);
   return state;
 }
@@ -141,10 +141,10 @@
   if (IsControlMember(aState)) {
     TickGroup(aState, aNow, aRandom, aOut);
   }
-  if (aNow >= aState.mFollowAt) {
-    aState.mFollowAt = aNow + kFollowInterval;
+  if (aNow >= aState.mReportAt) {
+    aState.mReportAt = aNow + kHostReportInterval;
     RefreshOwnHost(aState, aNow);
-    SendFollows(aState, aNow, aOut);
+    SendReports(aState, aNow, aOut);
     ExpireHosts(aState, aNow, aOut);
     TellOfHosts(aState, aNow, aOut);
     ForgetGoneHosts(aState, aNow);
@@ -175,10 +175,10 @@
       TakeConsensus(aState, aNow, aRandom, aMessage.consensus(), aOut);
       break;
     case wire::FleetMessage::kFollow:
-      TakeFollow(aState, aNow, from, aMessage.follow(), aOut);
+      HandleReport(aState, aNow, from, aMessage.follow(), aOut);
       break;
     case wire::FleetMessage::kFollowReply:
-      TakeFollowReply(aState, aNow, from, aMessage.follow_reply(), aOut);
+      HandleReportReply(aState, aNow, from, aMessage.follow_reply(), aOut);
       break;
     case wire::FleetMessage::kSubmit:
       TakeSubmit(aState, aNow, from, aMessage.submit(), aOut);
@@ -215,7 +215,7 @@
   }
   aState.mReady = aReady;
   RefreshOwnHost(aState, aNow);
-  SendFollows(aState, aNow, aOut);
+  SendReports(aState, aNow, aOut);
   TellOfHosts(aState, aNow, aOut);
 }
 
@@ -227,7 +227,7 @@
   aState.mStopping = true;
   aState.mReady = false;
   RefreshOwnHost(aState, aNow);
-  SendFollows(aState, aNow, aOut);
+  SendReports(aState, aNow, aOut);
   TellOfHosts(aState, aNow, aOut);
   HandOverLead(aState, aNow, aOut);
 }
@@ -324,7 +324,7 @@
 
 Micros NextTick(const State& aState) noexcept
 {
-  Micros next = std::min(aState.mFollowAt, NextPendingTime(aState));
+  Micros next = std::min(aState.mReportAt, NextPendingTime(aState));
   if (IsControlMember(aState)) {
     next = std::min(next, consensus::NextTick(aState.mGroup));
   }
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -23,7 +23,7 @@
 {
   return !Votes(aState) && !Lacks(aState, aFollower) &&
          !aFollower.mHostsDiffer && aFollower.mHostsSequence != 0 &&
-         aNow - aFollower.mToldAt < kFollowInterval;
+         aNow - aFollower.mToldAt < kHostReportInterval;
 }
 
 void DropSilentFollowers(State& aState, Micros aNow)
@@ -36,7 +36,7 @@
 
 void SendToControlHosts(State& aState, Micros aNow, Output& aOut)
 {
-  wire::Follow follow = OwnFollow(aState, aNow);
+  wire::Follow follow = OwnReport(aState, aNow);
   follow.set_votes(true);
   ShareFollowers(aState, aNow, follow);
   for (const std::string& address : aState.mControlAddresses) {
@@ -70,7 +70,7 @@
     const bool near = follower.mHost.mDataCentre == aAsker.mDataCentre;
     const std::pair<bool, std::uint64_t> weight(
       near, Hash64(aAsker.mPeerAddress + "|" + address));
-    const bool heard = aNow - follower.mHost.mHeardAt < 2 * kFollowInterval;
+    const bool heard = aNow - follower.mHost.mHeardAt < 2 * kHostReportInterval;
     if (heard && (best.empty() || weight > most)) {
       best = address;
       most = weight;
@@ -159,7 +159,7 @@
   const std::string address = aHost.mPeerAddress;
   aState.mBehind[address] = { std::move(aHost), aBy };
   if (!same) {
-    aState.mFollowAt = std::min(aState.mFollowAt, aNow + kForwardPause);
+    aState.mReportAt = std::min(aState.mReportAt, aNow + kForwardPause);
   }
 }
 
@@ -190,11 +190,11 @@
   }
 }
 
-void TakeFollowAsControl(State& aState,
-                         Micros aNow,
-                         const std::string& aFrom,
-                         const wire::Follow& aMessage,
-                         Output& aOut)
+void HandleReportAsControl(State& aState,
+                           Micros aNow,
+                           const std::string& aFrom,
+                           const wire::Follow& aMessage,
+                           Output& aOut)
 {
   MergeHost(aState, ReportedHost(aState, aNow, aMessage));
   for (const wire::FleetHost& follower : aMessage.followers()) {
@@ -225,7 +225,7 @@
 
 } // namespace
 
-void SendFollows(State& aState, Micros aNow, Output& aOut)
+void SendReports(State& aState, Micros aNow, Output& aOut)
 {
   DropSilentFollowers(aState, aNow);
   if (Votes(aState)) {
@@ -245,16 +245,16 @@
   }
 }
 
-void TakeFollow(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Follow& aMessage,
-                Output& aOut)
+void HandleReport(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Follow& aMessage,
+                  Output& aOut)
 {
   if (aMessage.leaves()) {
     DropFollower(aState, aFrom);
   } else if (IsControlMember(aState)) {
-    TakeFollowAsControl(aState, aNow, aFrom, aMessage, aOut);
+    HandleReportAsControl(aState, aNow, aFrom, aMessage, aOut);
   } else if (aMessage.brief() || aMessage.once() || !IsInTouch(aState, aNow)) {
     Refer(aState, aNow, aFrom, aOut);
   } else {
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -12,7 +12,7 @@
 
 /// A voter that was not heard for this long does not count as answering: two
 /// reports in a row are missing.
-constexpr Micros kAnswersWithin = 2 * kFollowInterval;
+constexpr Micros kAnswersWithin = 2 * kHostReportInterval;
 /// A weakness that lasts shorter is a restart or an election, not worth a line.
 constexpr Micros kWeakFor = 1 * kSecond;
 /// Pace of the lines while a weakness lasts.
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -11,13 +11,14 @@
 
 /// Control hosts tell each other of all their followers once in so many
 /// reports; of changes at once.
-constexpr int kShareAllEvery = 3;
+constexpr int kFullReportEvery = 3;
 /// A host that is gone is remembered for this long, so that all have heard of
 /// it and a late word of it does not bring it back: twice the time in which
 /// control hosts look for it.
 constexpr Micros kRememberGone = 60 * kSecond;
 /// What another control host tells of is older by its pace.
-constexpr Micros kSharedLease = kHostLease + kShareAllEvery * kFollowInterval;
+constexpr Micros kSharedLease =
+  kHostLease + kFullReportEvery * kHostReportInterval;
 
 std::uint64_t DigestOf(const Host& aHost)
 {
@@ -309,7 +310,7 @@
   const Micros lease =
     HoldsControlAddress(aState, teller->first) ? kSharedLease : kHostLease;
   const bool silent = teller->second.mGone ||
-                      aNow - teller->second.mHeardAt > 2 * kFollowInterval;
+                      aNow - teller->second.mHeardAt > 2 * kHostReportInterval;
   return silent ? lease + kMoveTime : lease;
 }
 
@@ -317,7 +318,7 @@
 // now is news to them, though the host is as it was.
 void ShareFollowers(State& aState, Micros aNow, wire::Follow& aFollow)
 {
-  const bool all = ++aState.mFollowTurn % kShareAllEvery == 0;
+  const bool all = ++aState.mReportCount % kFullReportEvery == 0;
   const std::string& self = aState.mSettings.mPeerAddress;
   for (auto& [address, host] : aState.mHosts) {
     const bool own = host.mToldBy == self && address != self;
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -8,10 +8,10 @@
 namespace geraniumpond::fleet {
 
 /// \brief A host not heard for six reports is taken for gone.
-constexpr Micros kHostLease = 6 * kFollowInterval;
+constexpr Micros kHostLease = 6 * kHostReportInterval;
 /// \brief Time in which a host whose control host fell silent has found another
 /// one and the others know: its patience, a report, and a report on it.
-constexpr Micros kMoveTime = kUpstreamPatience + 2 * kFollowInterval;
+constexpr Micros kMoveTime = kUpstreamPatience + 2 * kHostReportInterval;
 
 // --- group.cpp: the control group
 
@@ -95,11 +95,11 @@
 /// \brief Reports to the upstream, looks for another one where that is silent
 /// or where another would be better, and asks for one where there is none.
 void KeepUpstream(State& aState, Micros aNow, Output& aOut);
-void TakeFollowReply(State& aState,
-                     Micros aNow,
-                     const std::string& aFrom,
-                     const wire::FollowReply& aMessage,
-                     Output& aOut);
+void HandleReportReply(State& aState,
+                       Micros aNow,
+                       const std::string& aFrom,
+                       const wire::FollowReply& aMessage,
+                       Output& aOut);
 /// \brief Takes a host that offered itself, where the one that would be better
 /// has not answered in time.
 void AcceptWaitingOffer(State& aState, Micros aNow, Output& aOut);
@@ -109,7 +109,7 @@
 void SetUpstream(State& aState, const std::string& aAddress, Micros aNow);
 void NoteInTouch(State& aState, bool aInTouch, Output& aOut);
 /// \brief What this host says of itself in each report.
-[[nodiscard]] wire::Follow OwnFollow(const State& aState, Micros aNow);
+[[nodiscard]] wire::Follow OwnReport(const State& aState, Micros aNow);
 
 // --- word.cpp: how old the group's word is that a host acts by
 /// \brief Says in a reply up to where the sender's catalog goes and how old the
@@ -133,12 +133,12 @@
 [[nodiscard]] Micros NextQueryTime(const State& aState) noexcept;
 
 // --- following.cpp: who follows this host
-void SendFollows(State& aState, Micros aNow, Output& aOut);
-void TakeFollow(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Follow& aMessage,
-                Output& aOut);
+void SendReports(State& aState, Micros aNow, Output& aOut);
+void HandleReport(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Follow& aMessage,
+                  Output& aOut);
 /// \brief At a relay: adds the hosts behind it to its report.
 void AddHostsBehind(State& aState, Micros aNow, wire::Follow& aFollow);
 
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -171,7 +171,8 @@
 void ForwardConfirmation(State& aState, Micros aNow, Output& aOut)
 {
   for (auto& [address, follower] : aState.mFollowers) {
-    if (aState.mConfirmedAt - follower.mConfirmedSent >= kFollowInterval / 2) {
+    if (aState.mConfirmedAt - follower.mConfirmedSent >=
+        kHostReportInterval / 2) {
       SendReply(aState, aNow, address, follower, aOut);
     }
   }
--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -24,7 +24,7 @@
 constexpr Micros kPushPause = 100 * kMillisecond;
 /// \brief Pace at which hosts report to the host that they follow, and at which
 /// the group's word goes down the tree.
-constexpr Micros kFollowInterval = 400 * kMillisecond;
+constexpr Micros kHostReportInterval = 400 * kMillisecond;
 
 // --- disturbed
 
@@ -38,7 +38,7 @@
 constexpr Micros kQueryPause = 50 * kMillisecond;
 /// \brief Longest pause between questions: control hosts tell those who asked
 /// by themselves as soon as they are in touch.
-constexpr Micros kMaxQueryPause = 4 * kFollowInterval;
+constexpr Micros kMaxQueryPause = 4 * kHostReportInterval;
 /// \brief Time for a question and its answer, at a busy control host.
 constexpr Micros kAnswerTime = 100 * kMillisecond;
 
@@ -52,7 +52,7 @@
 /// election takes up to twice as long.
 constexpr Micros kLeaderPatience = 1000 * kMillisecond;
 /// \brief The same at other hosts, to which the word comes later.
-constexpr Micros kConfirmationTimeout = kUpstreamPatience + kFollowInterval;
+constexpr Micros kConfirmationTimeout = kUpstreamPatience + kHostReportInterval;
 /// \brief A snapshot that was not taken is sent again after this time: a slow
 /// link carries one in it. The policy does not wait for it.
 constexpr Micros kSnapshotRetry = 800 * kMillisecond;
@@ -80,7 +80,7 @@
 /// \brief Oldest word that a host of a level has, with nothing wrong.
 constexpr Micros UsualConfirmationAge() noexcept
 {
-  return kCommitHeard + kFollowInterval;
+  return kCommitHeard + kHostReportInterval;
 }
 
 /// \brief Longest time to a host of a level whose way up the tree fell silent,
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -36,7 +36,7 @@
   const Micros heardAt = std::max(aState.mUpstreamHeardAt, since);
   const Micros goodAt = std::max(aState.mUpstreamConfirmedAt, since);
   const bool isBehind = aNow - goodAt > kUpstreamPatience &&
-                        aState.mConfirmedAt > goodAt + kFollowInterval;
+                        aState.mConfirmedAt > goodAt + kHostReportInterval;
   return !aState.mUpstream.empty() && !isBehind &&
          aNow - heardAt <= kUpstreamPatience;
 }
@@ -72,7 +72,7 @@
   }
 }
 
-void SendFollow(State& aState,
+void SendReport(State& aState,
                 const std::string& aAddress,
                 wire::Follow aFollow,
                 Output& aOut)
@@ -86,9 +86,9 @@
 }
 
 // The upstream's numbers of changes mean nothing to another one.
-wire::Follow FollowAnew(const State& aState, Micros aNow)
+wire::Follow FreshReport(const State& aState, Micros aNow)
 {
-  wire::Follow follow = OwnFollow(aState, aNow);
+  wire::Follow follow = OwnReport(aState, aNow);
   follow.clear_hosts_sequence();
   follow.clear_hosts_incarnation();
   for (const auto& [dataCentre, digest] :
@@ -100,16 +100,16 @@
   return follow;
 }
 
-void Report(State& aState, Micros aNow, Output& aOut)
+void ReportToUpstream(State& aState, Micros aNow, Output& aOut)
 {
   wire::Follow follow = aState.mUpstreamIncarnation == 0
-                          ? FollowAnew(aState, aNow)
-                          : OwnFollow(aState, aNow);
+                          ? FreshReport(aState, aNow)
+                          : OwnReport(aState, aNow);
   if (aState.mUpstreamIncarnation != 0) {
     follow.set_hosts_digest(DigestOfAll(aState, aState.mSettings.mPeerAddress));
   }
   AddHostsBehind(aState, aNow, follow);
-  SendFollow(aState, aState.mUpstream, std::move(follow), aOut);
+  SendReport(aState, aState.mUpstream, std::move(follow), aOut);
 }
 
 // The old upstream counts until the new one has answered.
@@ -132,15 +132,15 @@
   const std::string preferred = PreferredUpstream(aState, aNow);
   aState.mNextUpstream = preferred == aState.mUpstream ? "" : preferred;
   if (!aState.mNextUpstream.empty()) {
-    SendFollow(aState, aState.mNextUpstream, FollowAnew(aState, aNow), aOut);
+    SendReport(aState, aState.mNextUpstream, FreshReport(aState, aNow), aOut);
   }
 }
 
 void MoveToNextUpstream(State& aState, Micros aNow, Output& aOut)
 {
-  wire::Follow leaving = OwnFollow(aState, aNow);
+  wire::Follow leaving = OwnReport(aState, aNow);
   leaving.set_leaves(true);
-  SendFollow(aState, aState.mUpstream, std::move(leaving), aOut);
+  SendReport(aState, aState.mUpstream, std::move(leaving), aOut);
   aOut.mNotes.push_back(
     { 1,
       "event=upstream_changed upstream=" + aState.mUpstream +
@@ -158,7 +158,7 @@
   aState.mAcceptAt = 0;
   aState.mAcceptedAt = aNow;
   SetUpstream(aState, aAddress, aNow);
-  SendFollow(aState, aAddress, FollowAnew(aState, aNow), aOut);
+  SendReport(aState, aAddress, FreshReport(aState, aNow), aOut);
 }
 
 // The control host of the own data centre, as the group names it.
@@ -313,7 +313,7 @@
   aState.mRebalanceAt = aInTouch ? aState.mRebalanceAt : 0;
 }
 
-wire::Follow OwnFollow(const State& aState, Micros aNow)
+wire::Follow OwnReport(const State& aState, Micros aNow)
 {
   wire::Follow follow;
   *follow.mutable_host() =
@@ -345,13 +345,13 @@
   if (!next.empty()) {
     aState.mDiscoveryAsked.insert(next);
     aState.mDiscoverAt = aNow + kDiscoveryStep;
-    wire::Follow follow = OwnFollow(aState, aNow);
+    wire::Follow follow = OwnReport(aState, aNow);
     follow.set_brief(true);
-    SendFollow(aState, next, std::move(follow), aOut);
+    SendReport(aState, next, std::move(follow), aOut);
     return;
   }
   const Micros pause =
-    std::clamp(2 * aState.mDiscoveryPause, kFollowInterval, kMaxQueryPause);
+    std::clamp(2 * aState.mDiscoveryPause, kHostReportInterval, kMaxQueryPause);
   const auto jitter =
     static_cast<Micros>(Weight(aState, std::to_string(aNow)) %
                         static_cast<std::uint64_t>(pause / 4));
@@ -388,7 +388,7 @@
   if (!HasGoodUpstream(aState, aNow)) {
     LeaveSilentUpstream(aState, aNow, aOut);
   }
-  Report(aState, aNow, aOut);
+  ReportToUpstream(aState, aNow, aOut);
   TryBetterUpstream(aState, aNow, aOut);
 }
 
@@ -407,11 +407,11 @@
   }
 }
 
-void TakeFollowReply(State& aState,
-                     Micros aNow,
-                     const std::string& aFrom,
-                     const wire::FollowReply& aMessage,
-                     Output& aOut)
+void HandleReportReply(State& aState,
+                       Micros aNow,
+                       const std::string& aFrom,
+                       const wire::FollowReply& aMessage,
+                       Output& aOut)
 {
   if (Votes(aState)) {
     return;
@@ -445,7 +445,7 @@
   }
   if (aFrom == aState.mUpstream && IsCircle(aState, aMessage)) {
     LeaveSilentUpstream(aState, aNow, aOut);
-    Report(aState, aNow, aOut);
+    ReportToUpstream(aState, aNow, aOut);
   } else if (aFrom == aState.mUpstream) {
     TakeUpstreamState(aState, aNow, aMessage, aOut);
     TakeHosts(aState, aNow, aMessage, aOut);
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -46,7 +46,7 @@
 {
   const auto found = aState.mHosts.find(aAddress);
   const bool heard = found != aState.mHosts.end() && !found->second.mGone &&
-                     aNow - found->second.mHeardAt < 2 * kFollowInterval;
+                     aNow - found->second.mHeardAt < 2 * kHostReportInterval;
   return heard ? found->second.mDataCentre : "";
 }
 
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -103,7 +103,7 @@
 void HandleQueryAnswer(State& aState, Micros aNow)
 {
   if (aState.mConfirmationAttempts > 0) {
-    aState.mQueryAt = std::max(aState.mQueryAt, aNow + kFollowInterval);
+    aState.mQueryAt = std::max(aState.mQueryAt, aNow + kHostReportInterval);
   }
 }
 
@@ -136,7 +136,7 @@
   }
   ++aState.mTraffic.mConfirmationQueries;
   wire::FleetMessage message;
-  *message.mutable_follow() = OwnFollow(aState, aNow);
+  *message.mutable_follow() = OwnReport(aState, aNow);
   message.mutable_follow()->set_once(true);
   SendTo(aState, control.at(turn % control.size()), std::move(message), aOut);
 }
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -25,7 +25,7 @@
   const std::string from = control.mFollowers.begin()->first;
   wire::FleetMessage report;
   report.set_from_address(from);
-  *report.mutable_follow() = OwnFollow(world.Node(from).mState, world.mNow);
+  *report.mutable_follow() = OwnReport(world.Node(from).mState, world.mNow);
   const double start = ProcessorSeconds();
   for (int i = 0; i < kReports; ++i) {
     Output output;
