--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -172,7 +172,7 @@
   const std::string& from = aMessage.from_address();
   switch (aMessage.body_case()) {
     case wire::FleetMessage::kConsensus:
-      TakeConsensus(aState, aNow, aRandom, aMessage.consensus(), aOut);
+      HandleConsensus(aState, aNow, aRandom, aMessage.consensus(), aOut);
       break;
     case wire::FleetMessage::kFollow:
       HandleReport(aState, aNow, from, aMessage.follow(), aOut);
@@ -181,16 +181,16 @@
       HandleReportReply(aState, aNow, from, aMessage.follow_reply(), aOut);
       break;
     case wire::FleetMessage::kSubmit:
-      TakeSubmit(aState, aNow, from, aMessage.submit(), aOut);
+      HandleSubmit(aState, aNow, from, aMessage.submit(), aOut);
       break;
     case wire::FleetMessage::kSubmitReply:
-      TakeSubmitReply(aState, aNow, aMessage.submit_reply(), aOut);
+      HandleSubmitReply(aState, aNow, aMessage.submit_reply(), aOut);
       break;
     case wire::FleetMessage::kJoin:
-      TakeJoin(aState, aNow, from, aMessage.join(), aOut);
+      HandleJoin(aState, aNow, from, aMessage.join(), aOut);
       break;
     case wire::FleetMessage::kGossip:
-      TakeGossip(aState, aNow, from, aMessage.gossip(), aOut);
+      HandleGossip(aState, aNow, from, aMessage.gossip(), aOut);
       break;
     case wire::FleetMessage::BODY_NOT_SET:
       aOut.mNotes.push_back({ 2, "event=message_unknown from=" + from });
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -188,11 +188,11 @@
   KeepMembers(aState, aNow, aOut);
 }
 
-void TakeConsensus(State& aState,
-                   Micros aNow,
-                   std::uint64_t aRandom,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut)
+void HandleConsensus(State& aState,
+                     Micros aNow,
+                     std::uint64_t aRandom,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut)
 {
   if (!IsControlMember(aState)) {
     return;
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -18,11 +18,11 @@
 /// \brief Performs what consensus asked for, and applies what it committed.
 void Perform(State& aState, Micros aNow, consensus::Output aRaft, Output& aOut);
 void TickGroup(State& aState, Micros aNow, std::uint64_t aRandom, Output& aOut);
-void TakeConsensus(State& aState,
-                   Micros aNow,
-                   std::uint64_t aRandom,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut);
+void HandleConsensus(State& aState,
+                     Micros aNow,
+                     std::uint64_t aRandom,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut);
 [[nodiscard]] std::string LeaderAddress(const State& aState);
 void ApplyCommand(State& aState, const std::string& aCommand, Output& aOut);
 
@@ -31,11 +31,11 @@
 /// \brief At the leader: takes in who has caught up and out who has left; at
 /// others: asks to be taken in.
 void KeepMembers(State& aState, Micros aNow, Output& aOut);
-void TakeJoin(State& aState,
-              Micros aNow,
-              const std::string& aFrom,
-              const wire::Member& aJoiner,
-              Output& aOut);
+void HandleJoin(State& aState,
+                Micros aNow,
+                const std::string& aFrom,
+                const wire::Member& aJoiner,
+                Output& aOut);
 /// \brief At a leader that stops: hands the lead to a voter that stays.
 void HandOverLead(State& aState, Micros aNow, Output& aOut);
 
@@ -48,15 +48,15 @@
 void WatchGroup(State& aState, Micros aNow, Output& aOut);
 
 // --- submit.cpp: commands to the leader and back
-void TakeSubmit(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Submit& aMessage,
-                Output& aOut);
-void TakeSubmitReply(State& aState,
-                     Micros aNow,
-                     const wire::SubmitReply& aMessage,
-                     Output& aOut);
+void HandleSubmit(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Submit& aMessage,
+                  Output& aOut);
+void HandleSubmitReply(State& aState,
+                       Micros aNow,
+                       const wire::SubmitReply& aMessage,
+                       Output& aOut);
 void ReplySubmit(State& aState,
                  Micros aNow,
                  const std::string& aTo,
@@ -66,11 +66,11 @@
 [[nodiscard]] Micros NextPendingTime(const State& aState) noexcept;
 
 // --- reads.cpp: reads of the policy, at the leader
-void TakeRead(State& aState,
-              Micros aNow,
-              const std::string& aFrom,
-              const wire::Submit& aMessage,
-              Output& aOut);
+void HandleRead(State& aState,
+                Micros aNow,
+                const std::string& aFrom,
+                const wire::Submit& aMessage,
+                Output& aOut);
 /// \brief Answers the reads that a quorum has confirmed; refuses all where this
 /// host leads no more.
 void AnswerReads(State& aState, Micros aNow, Output& aOut);
@@ -262,11 +262,11 @@
 void TellOfHosts(State& aState, Micros aNow, Output& aOut);
 
 // --- neighbours.cpp: with whom a host exchanges facts
-void TakeGossip(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Gossip& aMessage,
-                Output& aOut);
+void HandleGossip(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Gossip& aMessage,
+                  Output& aOut);
 /// \brief Looks who the neighbours are.
 void KeepNeighbours(State& aState);
 /// \brief Tells neighbours the facts that they lack.
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -463,11 +463,11 @@
          RemoveGoneLearner(aState, aNow, aOut));
 }
 
-void TakeJoin(State& aState,
-              Micros aNow,
-              const std::string& aFrom,
-              const wire::Member& aJoiner,
-              Output& aOut)
+void HandleJoin(State& aState,
+                Micros aNow,
+                const std::string& aFrom,
+                const wire::Member& aJoiner,
+                Output& aOut)
 {
   if (!consensus::IsLeader(aState.mGroup)) {
     ForwardJoin(aState, aJoiner, aFrom, aOut);
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -56,11 +56,11 @@
   }
 }
 
-void TakeGossip(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Gossip& aMessage,
-                Output& aOut)
+void HandleGossip(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Gossip& aMessage,
+                  Output& aOut)
 {
   gossip::Output output;
   gossip::Receive(aState.mGossip, aNow, aFrom, aMessage, output);
--- a/src/fleet/reads.cpp
+++ b/src/fleet/reads.cpp
@@ -45,11 +45,11 @@
 
 } // namespace
 
-void TakeRead(State& aState,
-              Micros aNow,
-              const std::string& aFrom,
-              const wire::Submit& aMessage,
-              Output& aOut)
+void HandleRead(State& aState,
+                Micros aNow,
+                const std::string& aFrom,
+                const wire::Submit& aMessage,
+                Output& aOut)
 {
   // One that was sent again waits on for the round of the first.
   const auto [entry, added] =
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -70,7 +70,7 @@
     submit.set_known_policy(*aPending.mKnownPolicy);
   }
   if (aTo == aState.mSettings.mPeerAddress) {
-    TakeSubmit(aState, aNow, aTo, submit, aOut);
+    HandleSubmit(aState, aNow, aTo, submit, aOut);
     return;
   }
   wire::FleetMessage message;
@@ -103,12 +103,12 @@
   SendPendingTo(aState, aNow, aId, aPending, to, aOut);
 }
 
-void TakeHint(State& aState,
-              Micros aNow,
-              std::uint64_t aId,
-              Pending& aPending,
-              const std::string& aLeader,
-              Output& aOut)
+void FollowRedirect(State& aState,
+                    Micros aNow,
+                    std::uint64_t aId,
+                    Pending& aPending,
+                    const std::string& aLeader,
+                    Output& aOut)
 {
   if (!IsControlMember(aState)) {
     aState.mLeaderAddress = aLeader;
@@ -167,10 +167,10 @@
 
 // A host that follows others takes the newer policy along; at a member of the
 // group it comes with the log.
-void TakeEnd(State& aState,
-             Micros aNow,
-             const wire::SubmitReply& aMessage,
-             Output& aOut)
+void CompleteCommand(State& aState,
+                     Micros aNow,
+                     const wire::SubmitReply& aMessage,
+                     Output& aOut)
 {
   const auto found = aState.mPending.find(aMessage.id());
   Done done = EndOf(aMessage.id(), found->second, aNow);
@@ -191,7 +191,7 @@
 
 // While the group elects a leader the next host may know it already; where none
 // does, the read is refused in place of waiting out its time.
-void TakeLeaderless(State& aState,
+void HandleNoLeader(State& aState,
                     Micros aNow,
                     std::uint64_t aId,
                     Pending& aPending,
@@ -235,7 +235,7 @@
                  Output& aOut)
 {
   if (aTo == aState.mSettings.mPeerAddress) {
-    TakeSubmitReply(aState, aNow, aReply, aOut);
+    HandleSubmitReply(aState, aNow, aReply, aOut);
     return;
   }
   wire::FleetMessage message;
@@ -243,11 +243,11 @@
   SendTo(aState, aTo, std::move(message), aOut);
 }
 
-void TakeSubmit(State& aState,
-                Micros aNow,
-                const std::string& aFrom,
-                const wire::Submit& aMessage,
-                Output& aOut)
+void HandleSubmit(State& aState,
+                  Micros aNow,
+                  const std::string& aFrom,
+                  const wire::Submit& aMessage,
+                  Output& aOut)
 {
   wire::SubmitReply reply;
   reply.set_id(aMessage.id());
@@ -260,7 +260,7 @@
   wire::CatalogCommand command;
   const bool readable = command.ParseFromString(aMessage.command());
   if (readable && command.has_read_barrier()) {
-    TakeRead(aState, aNow, aFrom, aMessage, aOut);
+    HandleRead(aState, aNow, aFrom, aMessage, aOut);
     return;
   }
   if (!OutlivesLosses(aState) && readable && command.has_put_policy()) {
@@ -290,17 +290,17 @@
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
-void TakeSubmitReply(State& aState,
-                     Micros aNow,
-                     const wire::SubmitReply& aMessage,
-                     Output& aOut)
+void HandleSubmitReply(State& aState,
+                       Micros aNow,
+                       const wire::SubmitReply& aMessage,
+                       Output& aOut)
 {
   const auto found = aState.mPending.find(aMessage.id());
   if (found == aState.mPending.end()) {
     return;
   }
   if (aMessage.status() == wire::SUBMIT_COMMITTED) {
-    TakeEnd(aState, aNow, aMessage, aOut);
+    CompleteCommand(aState, aNow, aMessage, aOut);
     return;
   }
   Pending& pending = found->second;
@@ -310,10 +310,10 @@
     return;
   }
   if (hint.empty() && isRead) {
-    TakeLeaderless(aState, aNow, aMessage.id(), pending, aOut);
+    HandleNoLeader(aState, aNow, aMessage.id(), pending, aOut);
   } else if (!hint.empty() && hint != pending.mLastTo &&
              (isRead || !IsControlMember(aState))) {
-    TakeHint(aState, aNow, aMessage.id(), pending, hint, aOut);
+    FollowRedirect(aState, aNow, aMessage.id(), pending, hint, aOut);
   }
 }
 
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -183,11 +183,11 @@
 // Traffic between data centres costs, and all would follow the first host that
 // is in touch: the own data centre's control host is tried before, and whoever
 // offered itself is taken where that one does not answer.
-void TakeOffer(State& aState,
-               Micros aNow,
-               const std::string& aFrom,
-               const wire::FollowReply& aMessage,
-               Output& aOut)
+void HandleOffer(State& aState,
+                 Micros aNow,
+                 const std::string& aFrom,
+                 const wire::FollowReply& aMessage,
+                 Output& aOut)
 {
   const bool old = aMessage.control_term() < aState.mControlDate.mTerm;
   const bool waits =
@@ -206,11 +206,11 @@
   aState.mAcceptAt = aNow + kOfferWait;
 }
 
-void TakeBriefReply(State& aState,
-                    Micros aNow,
-                    const std::string& aFrom,
-                    const wire::FollowReply& aMessage,
-                    Output& aOut)
+void HandleBriefReply(State& aState,
+                      Micros aNow,
+                      const std::string& aFrom,
+                      const wire::FollowReply& aMessage,
+                      Output& aOut)
 {
   const bool offers = aMessage.in_touch();
   // Voters of a minority count themselves in touch until their leader steps
@@ -220,7 +220,7 @@
       aMessage.control_term() > aState.mControlDate.mTerm) {
     AcceptOffer(aState, aNow, aFrom, aOut);
   } else if (offers && !aState.mInTouch) {
-    TakeOffer(aState, aNow, aFrom, aMessage, aOut);
+    HandleOffer(aState, aNow, aFrom, aMessage, aOut);
   }
   // The better one cannot be followed yet; whoever could is not kept waiting.
   if (!offers && aFrom == aState.mUpstream && aState.mAcceptAt != 0) {
@@ -234,11 +234,11 @@
 }
 
 // The asked host has enough followers; one of these takes this host.
-void TakeReferral(State& aState,
-                  Micros aNow,
-                  const std::string& aFrom,
-                  const std::string& aTo,
-                  Output& aOut)
+void HandleReferral(State& aState,
+                    Micros aNow,
+                    const std::string& aFrom,
+                    const std::string& aTo,
+                    Output& aOut)
 {
   if (aFrom == aState.mNextUpstream) {
     aState.mNextUpstream.clear();
@@ -417,14 +417,14 @@
     return;
   }
   if (aMessage.brief()) {
-    TakeBriefReply(aState, aNow, aFrom, aMessage, aOut);
+    HandleBriefReply(aState, aNow, aFrom, aMessage, aOut);
     return;
   }
   if (!IsControlMember(aState)) {
     TakeCommands(aState, aFrom, aMessage, aOut);
   }
   if (!aMessage.refer_to().empty()) {
-    TakeReferral(aState, aNow, aFrom, aMessage.refer_to(), aOut);
+    HandleReferral(aState, aNow, aFrom, aMessage.refer_to(), aOut);
     return;
   }
   const bool newer = UpdateConfirmation(aState, aNow, aFrom, aMessage);
