--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -100,7 +100,7 @@
   wire::FollowReply& reply = *message.mutable_follow_reply();
   reply.set_refer_to(referral);
   ++aState.mTraffic.mReferrals;
-  WriteControlWord(aState, aNow, reply);
+  WriteControlAddresses(aState, aNow, reply);
   FillWithoutSnapshot(aState, aNow, aMessage, reply);
   SendTo(aState, aAsker.mPeerAddress, std::move(message), aOut);
   return true;
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -20,7 +20,7 @@
   return aId.substr(0, aId.find('/'));
 }
 
-void NoteMembership(State& aState)
+void UpdateControlAddresses(State& aState)
 {
   std::vector<std::string> addresses;
   for (const wire::Member& member : aState.mGroup.mMembership.members()) {
@@ -143,7 +143,7 @@
   return " members_silent_ms=" + heard;
 }
 
-void NoteLeader(State& aState, Micros aNow, Output& aOut)
+void UpdateLeader(State& aState, Micros aNow, Output& aOut)
 {
   const std::string leader = LeaderAddress(aState);
   if (leader == aState.mLeaderAddress) {
@@ -223,8 +223,8 @@
   for (const wire::Entry& entry : aRaft.mCommitted) {
     ApplyEntry(aState, aNow, entry, aOut);
   }
-  NoteLeader(aState, aNow, aOut);
-  NoteMembership(aState);
+  UpdateLeader(aState, aNow, aOut);
+  UpdateControlAddresses(aState);
   if (!consensus::IsLeader(aState.mGroup)) {
     aState.mWaiters.clear();
   }
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -49,7 +49,7 @@
 }
 
 // True when it changed what is known.
-bool TakeTold(State& aState, const Host& aHost)
+bool ApplyHostChange(State& aState, const Host& aHost)
 {
   const auto found = aState.mHosts.find(aHost.mPeerAddress);
   const bool isKnown = found != aState.mHosts.end();
@@ -66,7 +66,7 @@
 }
 
 // All hosts of some data centres, or of all, are told: others are gone there.
-int DropUntold(State& aState, const wire::FollowReply& aMessage)
+int MarkUnlistedGone(State& aState, const wire::FollowReply& aMessage)
 {
   std::set<std::string> told;
   for (const wire::FleetHost& host : aMessage.hosts()) {
@@ -252,10 +252,10 @@
 
 // The upstream tells what has changed; the rest is as old as the word that it
 // passes on.
-void TakeHosts(State& aState,
-               Micros aNow,
-               const wire::FollowReply& aMessage,
-               Output& aOut)
+void ApplyHostChanges(State& aState,
+                      Micros aNow,
+                      const wire::FollowReply& aMessage,
+                      Output& aOut)
 {
   const bool gap =
     aMessage.hosts_after() != 0 &&
@@ -264,10 +264,11 @@
   if (!aMessage.in_touch() || gap) {
     return;
   }
-  int changes = aMessage.hosts_after() == 0 ? DropUntold(aState, aMessage) : 0;
+  int changes =
+    aMessage.hosts_after() == 0 ? MarkUnlistedGone(aState, aMessage) : 0;
   for (const wire::FleetHost& told : aMessage.hosts()) {
     if (told.peer_address() != aState.mSettings.mPeerAddress) {
-      changes += TakeTold(aState, FromWire(told, aNow)) ? 1 : 0;
+      changes += ApplyHostChange(aState, FromWire(told, aNow)) ? 1 : 0;
     }
   }
   aState.mUpstreamIncarnation = aMessage.hosts_incarnation();
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -144,10 +144,10 @@
 
 // --- taking.cpp: what a host takes of the catalog from others
 /// \brief Takes the snapshot, the policy and the commands of a reply.
-void TakeCommands(State& aState,
-                  const std::string& aFrom,
-                  const wire::FollowReply& aMessage,
-                  Output& aOut);
+void ApplyReplyCommands(State& aState,
+                        const std::string& aFrom,
+                        const wire::FollowReply& aMessage,
+                        Output& aOut);
 
 // --- replies.cpp: what a host tells those that follow it
 /// \brief Index of the last command that followers are told of.
@@ -202,13 +202,13 @@
 /// \brief True for a member of the group that holds the catalog by itself.
 [[nodiscard]] bool Votes(const State& aState) noexcept;
 /// \brief Puts the group's addresses and their date into a reply.
-void WriteControlWord(const State& aState,
-                      Micros aNow,
-                      wire::FollowReply& aReply);
+void WriteControlAddresses(const State& aState,
+                           Micros aNow,
+                           wire::FollowReply& aReply);
 /// \brief Takes the group's addresses unless newer ones are known; true when
 /// they changed.
-[[nodiscard]] bool TakeControlWord(State& aState,
-                                   const wire::FollowReply& aReply);
+[[nodiscard]] bool MergeControlAddresses(State& aState,
+                                         const wire::FollowReply& aReply);
 /// \brief Tells a host whether this one is in touch and where the group is.
 void ReplyBriefly(State& aState,
                   Micros aNow,
@@ -244,10 +244,10 @@
                Follower& aFollower,
                wire::FollowReply& aReply);
 /// \brief Takes the changes that the upstream tells.
-void TakeHosts(State& aState,
-               Micros aNow,
-               const wire::FollowReply& aMessage,
-               Output& aOut);
+void ApplyHostChanges(State& aState,
+                      Micros aNow,
+                      const wire::FollowReply& aMessage,
+                      Output& aOut);
 /// \brief Silence after which a control host takes a host for gone.
 [[nodiscard]] Micros LeaseOf(const State& aState,
                              const Host& aHost,
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -142,7 +142,7 @@
   reply.set_once(true);
   FillWithoutSnapshot(aState, aNow, aMessage, reply);
   WriteConfirmation(aState, aNow, reply);
-  WriteControlWord(aState, aNow, reply);
+  WriteControlAddresses(aState, aNow, reply);
   SendTo(aState, aFrom, std::move(message), aOut);
 }
 
@@ -158,7 +158,7 @@
   aFollower.mConfirmedSent = ConfirmedAt(aState, aNow);
   FillCommands(aState, aNow, aFollower, reply);
   WriteConfirmation(aState, aNow, reply);
-  WriteControlWord(aState, aNow, reply);
+  WriteControlAddresses(aState, aNow, reply);
   for (const std::string& address : aState.mRoute) {
     reply.add_route(address);
   }
--- a/src/fleet/taking.cpp
+++ b/src/fleet/taking.cpp
@@ -50,10 +50,10 @@
 } // namespace
 
 // The catalog only moves forward: what is older than the last index is void.
-void TakeCommands(State& aState,
-                  const std::string& aFrom,
-                  const wire::FollowReply& aMessage,
-                  Output& aOut)
+void ApplyReplyCommands(State& aState,
+                        const std::string& aFrom,
+                        const wire::FollowReply& aMessage,
+                        Output& aOut)
 {
   const bool snapshot =
     !aMessage.snapshot().empty() || !aMessage.packed_snapshot().empty();
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -226,7 +226,7 @@
   if (!offers && aFrom == aState.mUpstream && aState.mAcceptAt != 0) {
     aState.mAcceptAt = aNow;
   }
-  const bool news = TakeControlWord(aState, aMessage);
+  const bool news = MergeControlAddresses(aState, aMessage);
   if (news && !aState.mInTouch && aState.mAcceptedAt == 0) {
     aState.mDiscoverAt = aNow;
     DiscoverUpstream(aState, aNow, aOut);
@@ -257,10 +257,10 @@
            route.begin(), route.end(), aState.mSettings.mPeerAddress) != 0;
 }
 
-void TakeUpstreamState(State& aState,
-                       Micros aNow,
-                       const wire::FollowReply& aMessage,
-                       Output& aOut)
+void UpdateFromUpstream(State& aState,
+                        Micros aNow,
+                        const wire::FollowReply& aMessage,
+                        Output& aOut)
 {
   NoteInTouch(aState, aMessage.in_touch(), aOut);
   aState.mUpstreamHeardAt = aNow;
@@ -271,7 +271,7 @@
   aState.mRoute.assign(aMessage.route().begin(), aMessage.route().end());
   aState.mRoute.push_back(aState.mUpstream);
   aState.mLeaderAddress = aMessage.leader_address();
-  (void)TakeControlWord(aState, aMessage);
+  (void)MergeControlAddresses(aState, aMessage);
 }
 
 void TellFollowers(State& aState, Micros aNow, bool aNewerWord, Output& aOut)
@@ -421,7 +421,7 @@
     return;
   }
   if (!IsControlMember(aState)) {
-    TakeCommands(aState, aFrom, aMessage, aOut);
+    ApplyReplyCommands(aState, aFrom, aMessage, aOut);
   }
   if (!aMessage.refer_to().empty()) {
     HandleReferral(aState, aNow, aFrom, aMessage.refer_to(), aOut);
@@ -430,7 +430,7 @@
   const bool newer = UpdateConfirmation(aState, aNow, aFrom, aMessage);
   if (aMessage.once()) {
     HandleQueryAnswer(aState, aNow);
-    (void)TakeControlWord(aState, aMessage);
+    (void)MergeControlAddresses(aState, aMessage);
     TellFollowers(aState, aNow, newer, aOut);
     return;
   }
@@ -447,8 +447,8 @@
     LeaveSilentUpstream(aState, aNow, aOut);
     ReportToUpstream(aState, aNow, aOut);
   } else if (aFrom == aState.mUpstream) {
-    TakeUpstreamState(aState, aNow, aMessage, aOut);
-    TakeHosts(aState, aNow, aMessage, aOut);
+    UpdateFromUpstream(aState, aNow, aMessage, aOut);
+    ApplyHostChanges(aState, aNow, aMessage, aOut);
   }
   TellFollowers(aState, aNow, newer, aOut);
 }
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -87,9 +87,9 @@
          aState.mGroup.mRole != consensus::Role::Learner;
 }
 
-void WriteControlWord(const State& aState,
-                      Micros aNow,
-                      wire::FollowReply& aReply)
+void WriteControlAddresses(const State& aState,
+                           Micros aNow,
+                           wire::FollowReply& aReply)
 {
   aReply.set_leader_address(aState.mLeaderAddress);
   aReply.set_control_term(aState.mControlDate.mTerm);
@@ -100,7 +100,7 @@
   }
 }
 
-bool TakeControlWord(State& aState, const wire::FollowReply& aReply)
+bool MergeControlAddresses(State& aState, const wire::FollowReply& aReply)
 {
   const ControlDate date{ aReply.control_term(), aReply.control_index() };
   if (!(aState.mControlDate < date) || aReply.control_addresses_size() == 0) {
@@ -128,7 +128,7 @@
   const auto& route = aState.mRoute;
   const bool above = std::count(route.begin(), route.end(), aTo) != 0;
   reply.set_in_touch(!learns && !above && IsInTouch(aState, aNow));
-  WriteControlWord(aState, aNow, reply);
+  WriteControlAddresses(aState, aNow, reply);
   SendTo(aState, aTo, std::move(message), aOut);
 }
 
