--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -83,11 +83,11 @@
 };
 
 /// \brief At a relay: a host that reports here or to a host that does.
-struct HostBehind
+struct DownstreamHost
 {
   Host mHost;
   /// The follower of this relay that told of it; itself when it reports here.
-  std::string mBy;
+  std::string mVia;
 };
 
 /// \brief How a submitted command ended.
@@ -250,7 +250,7 @@
   std::uint64_t mPackedVersion = 0;
 
   std::map<std::string, Follower> mFollowers;
-  std::map<std::string, HostBehind> mBehind;
+  std::map<std::string, DownstreamHost> mDownstream;
   /// When followers were last told of commits, and when they are next; 0 for
   /// not at all.
   Micros mPushedAt = 0;
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -146,18 +146,21 @@
   }
 }
 
-void NoteBehind(State& aState, Micros aNow, Host aHost, const std::string& aBy)
+void RecordDownstream(State& aState,
+                      Micros aNow,
+                      Host aHost,
+                      const std::string& aBy)
 {
-  const auto found = aState.mBehind.find(aHost.mPeerAddress);
-  const bool isKnown = found != aState.mBehind.end();
-  const bool elsewhere = isKnown && found->second.mBy != aBy;
+  const auto found = aState.mDownstream.find(aHost.mPeerAddress);
+  const bool isKnown = found != aState.mDownstream.end();
+  const bool elsewhere = isKnown && found->second.mVia != aBy;
   if (elsewhere &&
       (aHost.mGone || found->second.mHost.mHeardAt > aHost.mHeardAt)) {
     return;
   }
   const bool same = isKnown && SameState(found->second.mHost, aHost);
   const std::string address = aHost.mPeerAddress;
-  aState.mBehind[address] = { std::move(aHost), aBy };
+  aState.mDownstream[address] = { std::move(aHost), aBy };
   if (!same) {
     aState.mReportAt = std::min(aState.mReportAt, aNow + kForwardPause);
   }
@@ -175,9 +178,9 @@
     Refer(aState, aNow, aFrom, aOut);
     return;
   }
-  NoteBehind(aState, aNow, ReportedHost(aState, aNow, aMessage), aFrom);
+  RecordDownstream(aState, aNow, ReportedHost(aState, aNow, aMessage), aFrom);
   for (const wire::FleetHost& follower : aMessage.followers()) {
-    NoteBehind(aState, aNow, FromWire(follower, aNow), aFrom);
+    RecordDownstream(aState, aNow, FromWire(follower, aNow), aFrom);
   }
   Serve(aState, aNow, aFrom, aMessage, aOut);
 }
@@ -185,8 +188,9 @@
 void DropFollower(State& aState, const std::string& aAddress)
 {
   aState.mFollowers.erase(aAddress);
-  for (auto it = aState.mBehind.begin(); it != aState.mBehind.end();) {
-    it = it->second.mBy == aAddress ? aState.mBehind.erase(it) : std::next(it);
+  for (auto it = aState.mDownstream.begin(); it != aState.mDownstream.end();) {
+    it = it->second.mVia == aAddress ? aState.mDownstream.erase(it)
+                                     : std::next(it);
   }
 }
 
@@ -235,13 +239,13 @@
   }
 }
 
-void AddHostsBehind(State& aState, Micros aNow, wire::Follow& aFollow)
+void AddDownstreamHosts(State& aState, Micros aNow, wire::Follow& aFollow)
 {
-  for (auto it = aState.mBehind.begin(); it != aState.mBehind.end();) {
+  for (auto it = aState.mDownstream.begin(); it != aState.mDownstream.end();) {
     Host& host = it->second.mHost;
     host.mGone = host.mGone || aNow - host.mHeardAt >= kHostLease;
     *aFollow.add_followers() = ToWire(host, aNow);
-    it = host.mGone ? aState.mBehind.erase(it) : std::next(it);
+    it = host.mGone ? aState.mDownstream.erase(it) : std::next(it);
   }
 }
 
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -140,7 +140,7 @@
                   const wire::Follow& aMessage,
                   Output& aOut);
 /// \brief At a relay: adds the hosts behind it to its report.
-void AddHostsBehind(State& aState, Micros aNow, wire::Follow& aFollow);
+void AddDownstreamHosts(State& aState, Micros aNow, wire::Follow& aFollow);
 
 // --- taking.cpp: what a host takes of the catalog from others
 /// \brief Takes the snapshot, the policy and the commands of a reply.
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -108,7 +108,7 @@
   if (aState.mUpstreamIncarnation != 0) {
     follow.set_hosts_digest(DigestOfAll(aState, aState.mSettings.mPeerAddress));
   }
-  AddHostsBehind(aState, aNow, follow);
+  AddDownstreamHosts(aState, aNow, follow);
   SendReport(aState, aState.mUpstream, std::move(follow), aOut);
 }
 
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -107,7 +107,7 @@
   const fleet::State& fleet = mState.mFleet;
   const fleet::Traffic& traffic = fleet.mTraffic;
   gauges["followers"] = static_cast<double>(fleet.mFollowers.size());
-  gauges["hosts_behind"] = static_cast<double>(fleet.mBehind.size());
+  gauges["hosts_behind"] = static_cast<double>(fleet.mDownstream.size());
   gauges["relays_above"] = static_cast<double>(fleet.mRoute.size());
   gauges["commands_pending"] = static_cast<double>(fleet.mPending.size());
   if (fleet.mSettings.mControl) {
