--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -48,14 +48,14 @@
   bool mStopping = false;
   Micros mHeardAt = 0;
   /// At a control host: who told of it last; itself when it reports here.
-  std::string mToldBy;
+  std::string mReportedBy;
   /// Number of the change that made it as it is, at this host.
   std::uint64_t mSequence = 0;
   bool mGone = false;
   /// It has a disk and may vote.
   bool mControl = false;
   /// At a control host: the others have not heard who tells of it now.
-  bool mUnshared = false;
+  bool mReporterUnshared = false;
 };
 
 /// \brief What a host knows of others, in short: a digest by data centre.
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -56,7 +56,7 @@
 {
   Host host = FromWire(aMessage.host(), aNow);
   host.mHeardAt = aNow;
-  host.mToldBy = aState.mSettings.mPeerAddress;
+  host.mReportedBy = aState.mSettings.mPeerAddress;
   return host;
 }
 
@@ -203,7 +203,7 @@
   MergeHost(aState, ReportedHost(aState, aNow, aMessage));
   for (const wire::FleetHost& follower : aMessage.followers()) {
     Host told = FromWire(follower, aNow);
-    told.mToldBy = aFrom;
+    told.mReportedBy = aFrom;
     MergeHost(aState, std::move(told));
   }
   // A host at a voter's address may be a new one with an empty disk: what it
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -36,7 +36,7 @@
   }
   Host& known = found->second;
   if (!known.mGone && known.mIncarnation == aHost.mIncarnation &&
-      known.mToldBy == aHost.mToldBy) {
+      known.mReportedBy == aHost.mReportedBy) {
     known.mGone = true;
     known.mSequence = ++aState.mHostsSequence;
     aState.mHostsUrgent = aState.mHostsSequence;
@@ -221,7 +221,8 @@
   if (!isNew && aHost.mIncarnation == known.mIncarnation) {
     aHost.mStopping = aHost.mStopping || known.mStopping;
   }
-  aHost.mUnshared = isNew || known.mUnshared || known.mToldBy != aHost.mToldBy;
+  aHost.mReporterUnshared =
+    isNew || known.mReporterUnshared || known.mReportedBy != aHost.mReportedBy;
   const bool same = !isNew && SameState(known, aHost);
   aHost.mSequence = same ? known.mSequence : ++aState.mHostsSequence;
   if (!same && aHost.mStopping) {
@@ -299,10 +300,10 @@
 Micros LeaseOf(const State& aState, const Host& aHost, Micros aNow)
 {
   // Known from the upstream that this host had before it got its vote.
-  if (aHost.mToldBy.empty()) {
+  if (aHost.mReportedBy.empty()) {
     return kSharedLease + kMoveTime;
   }
-  const auto teller = aState.mHosts.find(aHost.mToldBy);
+  const auto teller = aState.mHosts.find(aHost.mReportedBy);
   if (teller == aState.mHosts.end() ||
       teller->first == aState.mSettings.mPeerAddress ||
       teller->first == aHost.mPeerAddress) {
@@ -322,13 +323,14 @@
   const bool all = ++aState.mReportCount % kFullReportEvery == 0;
   const std::string& self = aState.mSettings.mPeerAddress;
   for (auto& [address, host] : aState.mHosts) {
-    const bool own = host.mToldBy == self && address != self;
-    const bool behind = own || aState.mFollowers.count(host.mToldBy) != 0;
-    const bool news = host.mSequence > aState.mHostsShared || host.mUnshared;
+    const bool own = host.mReportedBy == self && address != self;
+    const bool behind = own || aState.mFollowers.count(host.mReportedBy) != 0;
+    const bool news =
+      host.mSequence > aState.mHostsShared || host.mReporterUnshared;
     if (behind && (news || (all && !host.mGone))) {
       *aFollow.add_followers() = ToWire(host, aNow);
     }
-    host.mUnshared = false;
+    host.mReporterUnshared = false;
   }
   aState.mHostsShared = aState.mHostsSequence;
 }
@@ -363,7 +365,7 @@
       aState.mHostsUrgent = host.mSequence;
       aOut.mNotes.push_back(
         { 2,
-          "event=host_gone host=" + address + " told_by=" + host.mToldBy +
+          "event=host_gone host=" + address + " told_by=" + host.mReportedBy +
             " silent_ms=" +
             std::to_string((aNow - host.mHeardAt) / kMillisecond) });
     }
