--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -105,8 +105,8 @@
   std::string mLeader;
   /// Messages sent for it, and its time here and at the leader.
   int mTries = 0;
-  Micros mTook = 0;
-  Micros mAtLeader = 0;
+  Micros mElapsed = 0;
+  Micros mLeaderWait = 0;
   Micros mGiveUpAt = 0;
 };
 
@@ -151,26 +151,26 @@
   Micros mSendAt = 0;
   Micros mRetryPause = 0;
   Micros mGiveUpAt = 0;
-  std::string mLastTo;
+  std::string mLastSentTo;
   Micros mStartedAt = 0;
   int mTries = 0;
   /// The last host that was asked as the leader, and how many since the last
   /// pause were named by another one.
-  std::string mAskedLeader;
-  Micros mAskedLeaderAt = 0;
-  int mHints = 0;
+  std::string mTriedLeader;
+  Micros mTriedLeaderAt = 0;
+  int mRedirects = 0;
   /// Control hosts in a row that knew of no leader.
-  std::size_t mLeaderless = 0;
+  std::size_t mNoLeaderReplies = 0;
   /// A read: the version of the policy that it has no need of.
-  std::optional<std::uint64_t> mKnownPolicy;
+  std::optional<std::uint64_t> mKnownPolicyVersion;
 };
 
 /// \brief A read that waits at this leader until a round has confirmed it.
-struct WaitingRead
+struct PendingRead
 {
   std::uint64_t mRound = 0;
   Micros mSince = 0;
-  std::optional<std::uint64_t> mKnownPolicy;
+  std::optional<std::uint64_t> mKnownPolicyVersion;
 };
 
 /// \brief A command whose commit someone waits for at this leader.
@@ -318,11 +318,11 @@
   Micros mCaughtUpAt = 0;
   bool mInTouch = false;
 
-  std::uint64_t mLastSubmit = 0;
+  std::uint64_t mLastSubmitId = 0;
   std::map<std::uint64_t, Pending> mPending;
   std::map<std::uint64_t, Waiter> mWaiters;
   /// At the leader: reads by the host that asks and its number for them.
-  std::map<std::pair<std::string, std::uint64_t>, WaitingRead> mReads;
+  std::map<std::pair<std::string, std::uint64_t>, PendingRead> mReads;
 
   gossip::State mGossip;
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -129,7 +129,7 @@
   state.mGossip.mIncarnation = aSettings.mIncarnation;
   state.mUpstreamTurn = static_cast<std::size_t>(aRandom % 1021);
   // An answer to a command of an earlier life of this host ends none of this.
-  state.mLastSubmit = aRandom;
+  state.mLastSubmitId = aRandom;
   RefreshOwnHost(state, aNow);
   state.mReportAt = aNow;
   Tick(state, aNow, aRandom, aOut);
--- a/src/fleet/reads.cpp
+++ b/src/fleet/reads.cpp
@@ -25,7 +25,7 @@
 wire::SubmitReply AnswerTo(const State& aState,
                            Micros aNow,
                            std::uint64_t aId,
-                           const WaitingRead& aRead)
+                           const PendingRead& aRead)
 {
   const std::uint64_t version = aState.mCatalog.mVersion;
   wire::SubmitReply reply;
@@ -37,7 +37,7 @@
   reply.mutable_outcome()->set_version(version);
   reply.set_waited_ms(
     static_cast<std::uint32_t>((aNow - aRead.mSince) / kMillisecond));
-  if (aRead.mKnownPolicy && *aRead.mKnownPolicy < version) {
+  if (aRead.mKnownPolicyVersion && *aRead.mKnownPolicyVersion < version) {
     *reply.mutable_policy() = aState.mCatalog.mChange;
   }
   return reply;
@@ -59,7 +59,7 @@
   }
   entry->second.mSince = aNow;
   if (aMessage.has_known_policy()) {
-    entry->second.mKnownPolicy = aMessage.known_policy();
+    entry->second.mKnownPolicyVersion = aMessage.known_policy();
   }
   consensus::Output raft;
   entry->second.mRound = consensus::RequestRead(aState.mGroup, aNow, raft);
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -12,13 +12,13 @@
 /// so that a leader that is behind is not asked for the same thing more often.
 constexpr Micros kSubmitRetry = 250 * kMillisecond;
 /// Hosts that were replaced as leaders may name each other for a moment.
-constexpr int kMostHints = 3;
+constexpr int kMaxRedirects = 3;
 /// A leader that others still name is asked again after this time.
-constexpr Micros kBusyLeader = 400 * kMillisecond;
+constexpr Micros kBusyLeaderTime = 400 * kMillisecond;
 
 // Enough disks hold a committed command to outlive the tolerated losses only
 // while a quorum is larger than these.
-bool OutlivesLosses(const State& aState)
+bool QuorumOutlivesLosses(const State& aState)
 {
   const int voters =
     static_cast<int>(consensus::VoterCount(aState.mGroup.mMembership));
@@ -43,7 +43,7 @@
 
 Micros RetryPauseOf(const Pending& aPending)
 {
-  return aPending.mKnownPolicy
+  return aPending.mKnownPolicyVersion
            ? std::clamp(2 * aPending.mRetryPause, kReadRetry, 2 * kReadRetry)
            : std::max(kSubmitRetry, 2 * aPending.mRetryPause);
 }
@@ -57,7 +57,7 @@
 {
   aPending.mRetryPause = RetryPauseOf(aPending);
   aPending.mSendAt = aNow + aPending.mRetryPause;
-  aPending.mLastTo = aTo;
+  aPending.mLastSentTo = aTo;
   if (aTo.empty()) {
     return;
   }
@@ -66,8 +66,8 @@
   submit.set_id(aId);
   submit.set_command(aPending.mCommand);
   submit.set_urgent(aPending.mUrgent);
-  if (aPending.mKnownPolicy) {
-    submit.set_known_policy(*aPending.mKnownPolicy);
+  if (aPending.mKnownPolicyVersion) {
+    submit.set_known_policy(*aPending.mKnownPolicyVersion);
   }
   if (aTo == aState.mSettings.mPeerAddress) {
     HandleSubmit(aState, aNow, aTo, submit, aOut);
@@ -80,15 +80,15 @@
 
 // Without a leader's name, or with one that has been asked, control hosts are
 // asked in turn: one that answers names the leader.
-std::string NextToAsk(State& aState, Micros aNow, Pending& aPending)
+std::string NextDestination(State& aState, Micros aNow, Pending& aPending)
 {
   const std::string& leader = aState.mLeaderAddress;
   const auto& control = aState.mControlAddresses;
-  if ((leader.empty() || leader == aPending.mAskedLeader) && !control.empty()) {
+  if ((leader.empty() || leader == aPending.mTriedLeader) && !control.empty()) {
     return control[++aState.mUpstreamTurn % control.size()];
   }
-  aPending.mAskedLeader = leader;
-  aPending.mAskedLeaderAt = aNow;
+  aPending.mTriedLeader = leader;
+  aPending.mTriedLeaderAt = aNow;
   return leader;
 }
 
@@ -98,8 +98,8 @@
                  Pending& aPending,
                  Output& aOut)
 {
-  aPending.mHints = 0;
-  const std::string to = NextToAsk(aState, aNow, aPending);
+  aPending.mRedirects = 0;
+  const std::string to = NextDestination(aState, aNow, aPending);
   SendPendingTo(aState, aNow, aId, aPending, to, aOut);
 }
 
@@ -113,41 +113,41 @@
   if (!IsControlMember(aState)) {
     aState.mLeaderAddress = aLeader;
   }
-  aPending.mLeaderless = 0;
+  aPending.mNoLeaderReplies = 0;
   // One that was asked lately is busy, not lost: the command waits there.
-  const bool isWaiting = aLeader == aPending.mAskedLeader &&
-                         aNow - aPending.mAskedLeaderAt < kBusyLeader;
-  if (!isWaiting && ++aPending.mHints <= kMostHints) {
-    aPending.mAskedLeader = aLeader;
-    aPending.mAskedLeaderAt = aNow;
+  const bool isWaiting = aLeader == aPending.mTriedLeader &&
+                         aNow - aPending.mTriedLeaderAt < kBusyLeaderTime;
+  if (!isWaiting && ++aPending.mRedirects <= kMaxRedirects) {
+    aPending.mTriedLeader = aLeader;
+    aPending.mTriedLeaderAt = aNow;
     SendPendingTo(aState, aNow, aId, aPending, aLeader, aOut);
   }
 }
 
-std::uint64_t Begin(State& aState,
-                    Micros aNow,
-                    const wire::CatalogCommand& aCommand,
-                    std::optional<std::uint64_t> aKnownPolicy,
-                    Micros aPatience,
-                    Output& aOut)
+std::uint64_t StartCommand(State& aState,
+                           Micros aNow,
+                           const wire::CatalogCommand& aCommand,
+                           std::optional<std::uint64_t> aKnownPolicy,
+                           Micros aPatience,
+                           Output& aOut)
 {
-  const std::uint64_t id = ++aState.mLastSubmit;
+  const std::uint64_t id = ++aState.mLastSubmitId;
   Pending& pending = aState.mPending[id];
   pending.mCommand = aCommand.SerializeAsString();
   pending.mUrgent = IsUrgent(aCommand);
   pending.mStartedAt = aNow;
   pending.mGiveUpAt = aNow + aPatience;
-  pending.mKnownPolicy = aKnownPolicy;
+  pending.mKnownPolicyVersion = aKnownPolicy;
   SendPending(aState, aNow, id, pending, aOut);
   return id;
 }
 
-Done EndOf(std::uint64_t aId, const Pending& aPending, Micros aNow)
+Done CompletionOf(std::uint64_t aId, const Pending& aPending, Micros aNow)
 {
   Done done;
   done.mId = aId;
   done.mRead.mTries = aPending.mTries;
-  done.mRead.mTook = aNow - aPending.mStartedAt;
+  done.mRead.mElapsed = aNow - aPending.mStartedAt;
   done.mRead.mGiveUpAt = aPending.mGiveUpAt;
   return done;
 }
@@ -159,7 +159,7 @@
             Output& aOut)
 {
   const auto found = aState.mPending.find(aId);
-  Done done = EndOf(aId, found->second, aNow);
+  Done done = CompletionOf(aId, found->second, aNow);
   done.mReason = aReason + ", leader=" + aState.mLeaderAddress;
   aOut.mDone.push_back(std::move(done));
   aState.mPending.erase(found);
@@ -173,12 +173,12 @@
                      Output& aOut)
 {
   const auto found = aState.mPending.find(aMessage.id());
-  Done done = EndOf(aMessage.id(), found->second, aNow);
+  Done done = CompletionOf(aMessage.id(), found->second, aNow);
   aState.mPending.erase(found);
   done.mEnd = SubmitEnd::Committed;
   done.mOutcome = aMessage.outcome();
   done.mRead.mLeader = aMessage.leader_address();
-  done.mRead.mAtLeader = aMessage.waited_ms() * kMillisecond;
+  done.mRead.mLeaderWait = aMessage.waited_ms() * kMillisecond;
   if (aMessage.has_policy()) {
     done.mPolicy = aMessage.policy();
     aOut.mPolicyChanged =
@@ -197,7 +197,7 @@
                     Pending& aPending,
                     Output& aOut)
 {
-  if (++aPending.mLeaderless >= aState.mControlAddresses.size()) {
+  if (++aPending.mNoLeaderReplies >= aState.mControlAddresses.size()) {
     GiveUp(aState, aNow, aId, "no control host knows a leader", aOut);
     return;
   }
@@ -215,7 +215,7 @@
   const auto known = aCommand.has_read_barrier()
                        ? std::optional(aState.mCatalog.mVersion)
                        : std::nullopt;
-  return Begin(aState, aNow, aCommand, known, aPatience, aOut);
+  return StartCommand(aState, aNow, aCommand, known, aPatience, aOut);
 }
 
 std::uint64_t Read(State& aState,
@@ -225,7 +225,7 @@
 {
   wire::CatalogCommand command;
   command.mutable_read_barrier();
-  return Begin(aState, aNow, command, aKnown, kReadWithin, aOut);
+  return StartCommand(aState, aNow, command, aKnown, kReadWithin, aOut);
 }
 
 void ReplySubmit(State& aState,
@@ -263,7 +263,7 @@
     HandleRead(aState, aNow, aFrom, aMessage, aOut);
     return;
   }
-  if (!OutlivesLosses(aState) && readable && command.has_put_policy()) {
+  if (!QuorumOutlivesLosses(aState) && readable && command.has_put_policy()) {
     reply.set_status(wire::SUBMIT_TOO_FEW_DISKS);
     ReplySubmit(aState, aNow, aFrom, reply, aOut);
     return;
@@ -305,13 +305,13 @@
   }
   Pending& pending = found->second;
   const std::string& hint = aMessage.leader_address();
-  const bool isRead = pending.mKnownPolicy.has_value();
+  const bool isRead = pending.mKnownPolicyVersion.has_value();
   if (aMessage.status() != wire::SUBMIT_NOT_LEADER) {
     return;
   }
   if (hint.empty() && isRead) {
     HandleNoLeader(aState, aNow, aMessage.id(), pending, aOut);
-  } else if (!hint.empty() && hint != pending.mLastTo &&
+  } else if (!hint.empty() && hint != pending.mLastSentTo &&
              (isRead || !IsControlMember(aState))) {
     FollowRedirect(aState, aNow, aMessage.id(), pending, hint, aOut);
   }
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -61,8 +61,8 @@
   const std::optional<Micros> age = fleet::ConfirmationAge(aState.mFleet, aNow);
   return "answered_by=" + aRead.mLeader +
          " tries=" + std::to_string(aRead.mTries) +
-         " took_ms=" + std::to_string(aRead.mTook / kMillisecond) +
-         " at_leader_ms=" + std::to_string(aRead.mAtLeader / kMillisecond) +
+         " took_ms=" + std::to_string(aRead.mElapsed / kMillisecond) +
+         " at_leader_ms=" + std::to_string(aRead.mLeaderWait / kMillisecond) +
          " word_age_ms=" +
          (age ? std::to_string(*age / kMillisecond) : std::string("none"));
 }
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -136,7 +136,7 @@
       const auto& ends = mWorld.Node(host).mDone;
       const auto done = ends.find(id);
       CPPUNIT_ASSERT_MESSAGE(host, done != ends.end());
-      CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mTook < kPatience);
+      CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mElapsed < kPatience);
       const bool good = done->second.mEnd == SubmitEnd::Committed;
       CPPUNIT_ASSERT(!good || done->second.mOutcome.version() == 2);
       answered += good ? 1 : 0;
