--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -182,12 +182,12 @@
 };
 
 /// \brief Position in the group's log as of which its members are known.
-struct ControlDate
+struct MembershipVersion
 {
   std::uint64_t mTerm = 0;
   std::uint64_t mIndex = 0;
 
-  bool operator<(const ControlDate& aOther) const noexcept
+  bool operator<(const MembershipVersion& aOther) const noexcept
   {
     return std::tie(mTerm, mIndex) < std::tie(aOther.mTerm, aOther.mIndex);
   }
@@ -278,7 +278,7 @@
 
   /// Where the control group is: the seeds until its members are known.
   std::vector<std::string> mControlAddresses;
-  ControlDate mControlDate;
+  MembershipVersion mMembershipVersion;
   /// Which of the silent hosts are tried next.
   std::size_t mIntroduceTurn = 0;
   bool mWasInTouch = false;
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -33,9 +33,10 @@
   }
   aState.mControlAddresses = std::move(addresses);
   const std::uint64_t commit = aState.mGroup.mCommit;
-  const ControlDate date{ consensus::TermAt(aState.mGroup, commit).value_or(0),
-                          commit };
-  aState.mControlDate = std::max(aState.mControlDate, date);
+  const MembershipVersion date{
+    consensus::TermAt(aState.mGroup, commit).value_or(0), commit
+  };
+  aState.mMembershipVersion = std::max(aState.mMembershipVersion, date);
 }
 
 void InstallSnapshot(State& aState,
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -189,7 +189,7 @@
                  const wire::FollowReply& aMessage,
                  Output& aOut)
 {
-  const bool old = aMessage.control_term() < aState.mControlDate.mTerm;
+  const bool old = aMessage.control_term() < aState.mMembershipVersion.mTerm;
   const bool waits =
     aState.mAcceptedAt != 0 && aNow - aState.mAcceptedAt < kAnswerWait;
   if (old || waits) {
@@ -217,7 +217,7 @@
   // down, seconds after the cut: of two that are in touch the one with the
   // later term is followed.
   if (offers && aState.mInTouch &&
-      aMessage.control_term() > aState.mControlDate.mTerm) {
+      aMessage.control_term() > aState.mMembershipVersion.mTerm) {
     AcceptOffer(aState, aNow, aFrom, aOut);
   } else if (offers && !aState.mInTouch) {
     HandleOffer(aState, aNow, aFrom, aMessage, aOut);
@@ -436,7 +436,7 @@
   }
   const bool current =
     aMessage.in_touch() &&
-    aMessage.control_term() >= aState.mControlDate.mTerm &&
+    aMessage.control_term() >= aState.mMembershipVersion.mTerm &&
     aNow - ConfirmedAtOf(aMessage, aNow) <= kUpstreamPatience;
   if (current && aFrom == aState.mNextUpstream) {
     MoveToNextUpstream(aState, aNow, aOut);
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -92,8 +92,8 @@
                            wire::FollowReply& aReply)
 {
   aReply.set_leader_address(aState.mLeaderAddress);
-  aReply.set_control_term(aState.mControlDate.mTerm);
-  aReply.set_control_index(aState.mControlDate.mIndex);
+  aReply.set_control_term(aState.mMembershipVersion.mTerm);
+  aReply.set_control_index(aState.mMembershipVersion.mIndex);
   for (const std::string& address : aState.mControlAddresses) {
     aReply.add_control_addresses(address);
     aReply.add_control_data_centres(PlaceIfHeard(aState, address, aNow));
@@ -102,11 +102,12 @@
 
 bool MergeControlAddresses(State& aState, const wire::FollowReply& aReply)
 {
-  const ControlDate date{ aReply.control_term(), aReply.control_index() };
-  if (!(aState.mControlDate < date) || aReply.control_addresses_size() == 0) {
+  const MembershipVersion date{ aReply.control_term(), aReply.control_index() };
+  if (!(aState.mMembershipVersion < date) ||
+      aReply.control_addresses_size() == 0) {
     return false;
   }
-  aState.mControlDate = date;
+  aState.mMembershipVersion = date;
   std::vector<std::string> told(aReply.control_addresses().begin(),
                                 aReply.control_addresses().end());
   const bool changed = told != aState.mControlAddresses;
@@ -137,7 +138,7 @@
   if (!IsInTouch(aState, aNow)) {
     aState.mAskedWhileOut.insert(aFrom);
   }
-  if (aState.mControlDate.mTerm > 0) {
+  if (aState.mMembershipVersion.mTerm > 0) {
     ReplyBriefly(aState, aNow, aFrom, aOut);
   }
 }
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -82,7 +82,7 @@
                         const std::string& aFrom,
                         const wire::FollowReply& aMessage)
 {
-  const bool old = aMessage.control_term() < aState.mControlDate.mTerm;
+  const bool old = aMessage.control_term() < aState.mMembershipVersion.mTerm;
   const bool lacks =
     !IsControlMember(aState) && aMessage.news_index() > aState.mApplied;
   const Micros wordAt = ConfirmedAtOf(aMessage, aNow);
--- a/tests/fakes/fleet_player.cpp
+++ b/tests/fakes/fleet_player.cpp
@@ -545,7 +545,7 @@
   {
     const State& state = Node(aAddress).mState;
     const std::vector<std::string>& seeds = state.mSettings.mSeeds;
-    return state.mControlDate.mTerm == 0 &&
+    return state.mMembershipVersion.mTerm == 0 &&
            std::all_of(seeds.begin(), seeds.end(), [&](const auto& aSeed) {
              return mRemoved.count(aSeed) != 0;
            });
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -637,7 +637,7 @@
     Begin(3, 3, 1);
     FleetNode& node = mWorld.Node("10.0.0.6:1");
     const std::vector<std::string> known = node.mState.mControlAddresses;
-    CPPUNIT_ASSERT(node.mState.mControlDate.mTerm > 0);
+    CPPUNIT_ASSERT(node.mState.mMembershipVersion.mTerm > 0);
     wire::FleetMessage message;
     message.set_from_address("10.0.0.5:1");
     wire::FollowReply& reply = *message.mutable_follow_reply();
@@ -649,7 +649,7 @@
       Output output;
       Receive(node.mState, mWorld.mNow, 1, message, output);
     };
-    const ControlDate date = node.mState.mControlDate;
+    const MembershipVersion date = node.mState.mMembershipVersion;
     tell(date.mTerm - 1, date.mIndex + 1000);
     tell(date.mTerm, date.mIndex - 1);
     tell(0, 0);
