--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -194,12 +194,12 @@
 };
 
 /// \brief What happened between this host and others since its start.
-struct Traffic
+struct FleetCounters
 {
   /// To followers.
   std::uint64_t mSnapshotsSent = 0;
   std::uint64_t mCommandsSent = 0;
-  std::uint64_t mAllHostsSent = 0;
+  std::uint64_t mHostListsSent = 0;
   std::uint64_t mReferrals = 0;
   /// Questions to control hosts for the group's word, while the own was old.
   std::uint64_t mConfirmationQueries = 0;
@@ -326,7 +326,7 @@
 
   gossip::State mGossip;
 
-  Traffic mTraffic;
+  FleetCounters mCounters;
 
   Micros mReportAt = 0;
   Micros mJoinAt = 0;
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -99,7 +99,7 @@
   wire::FleetMessage message;
   wire::FollowReply& reply = *message.mutable_follow_reply();
   reply.set_refer_to(referral);
-  ++aState.mTraffic.mReferrals;
+  ++aState.mCounters.mReferrals;
   WriteControlAddresses(aState, aNow, reply);
   FillWithoutSnapshot(aState, aNow, aMessage, reply);
   SendTo(aState, aAsker.mPeerAddress, std::move(message), aOut);
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -432,7 +432,7 @@
                 const std::string& aFault,
                 Output& aOut)
 {
-  ++aState.mTraffic.mJoinsRefused;
+  ++aState.mCounters.mJoinsRefused;
   if (aState.mJoinRefusedAt != 0 &&
       aNow - aState.mJoinRefusedAt < kRefusalLinePause) {
     return;
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -53,7 +53,7 @@
   aFollower.mSent = aState.mApplied;
   aFollower.mPolicySent = aState.mCatalog.mVersion;
   aReply.set_snapshot_index(aState.mApplied);
-  ++aState.mTraffic.mSnapshotsSent;
+  ++aState.mCounters.mSnapshotsSent;
   if (aFollower.mCompact) {
     aReply.set_packed_snapshot(PackedCatalog(aState));
   } else {
@@ -112,7 +112,7 @@
   aFollower.mSent = aState.mApplied;
   aFollower.mPolicySent = aState.mCatalog.mVersion;
   aReply.set_commands_after(from);
-  aState.mTraffic.mCommandsSent += count;
+  aState.mCounters.mCommandsSent += count;
   for (auto it = first; it != aState.mRecent.end(); ++it) {
     *aReply.add_commands() = *it;
   }
@@ -162,7 +162,7 @@
   for (const std::string& address : aState.mRoute) {
     reply.add_route(address);
   }
-  aState.mTraffic.mAllHostsSent += aFollower.mHostsSequence == 0 ? 1 : 0;
+  aState.mCounters.mHostListsSent += aFollower.mHostsSequence == 0 ? 1 : 0;
   FillHosts(aState, aNow, aFollower, reply);
   reply.set_hosts_differ(aFollower.mHostsDiffer);
   SendTo(aState, aTo, std::move(message), aOut);
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -58,7 +58,7 @@
 {
   const std::string last = aState.mUpstream;
   Suspect(aState, last, aNow);
-  ++aState.mTraffic.mUpstreamsLost;
+  ++aState.mCounters.mUpstreamsLost;
   const std::string next = NextControl(aState, aNow);
   aOut.mNotes.push_back(
     { 2,
@@ -145,7 +145,7 @@
     { 1,
       "event=upstream_changed upstream=" + aState.mUpstream +
         " next=" + aState.mNextUpstream });
-  ++aState.mTraffic.mUpstreamsLeft;
+  ++aState.mCounters.mUpstreamsLeft;
   SetUpstream(aState, aState.mNextUpstream, aNow);
 }
 
@@ -180,9 +180,9 @@
   return Heaviest(aState, near);
 }
 
-// Traffic between data centres costs, and all would follow the first host that
-// is in touch: the own data centre's control host is tried before, and whoever
-// offered itself is taken where that one does not answer.
+// FleetCounters between data centres costs, and all would follow the first host
+// that is in touch: the own data centre's control host is tried before, and
+// whoever offered itself is taken where that one does not answer.
 void HandleOffer(State& aState,
                  Micros aNow,
                  const std::string& aFrom,
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -134,7 +134,7 @@
   if (control.empty()) {
     return;
   }
-  ++aState.mTraffic.mConfirmationQueries;
+  ++aState.mCounters.mConfirmationQueries;
   wire::FleetMessage message;
   *message.mutable_follow() = OwnReport(aState, aNow);
   message.mutable_follow()->set_once(true);
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -105,7 +105,7 @@
   gauges["client_connections"] =
     static_cast<double>(mCallerServer->Connections());
   const fleet::State& fleet = mState.mFleet;
-  const fleet::Traffic& traffic = fleet.mTraffic;
+  const fleet::FleetCounters& traffic = fleet.mCounters;
   gauges["followers"] = static_cast<double>(fleet.mFollowers.size());
   gauges["hosts_behind"] = static_cast<double>(fleet.mDownstream.size());
   gauges["relays_above"] = static_cast<double>(fleet.mRoute.size());
@@ -122,7 +122,7 @@
   dispatch::Counters counters = mState.mDispatch.mCounters;
   counters["snapshots_sent"] = traffic.mSnapshotsSent;
   counters["commands_sent"] = traffic.mCommandsSent;
-  counters["host_lists_sent"] = traffic.mAllHostsSent;
+  counters["host_lists_sent"] = traffic.mHostListsSent;
   counters["referrals"] = traffic.mReferrals;
   counters["words_asked"] = traffic.mConfirmationQueries;
   counters["upstreams_lost"] = traffic.mUpstreamsLost;
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -304,7 +304,7 @@
 {
   std::uint64_t asked = 0;
   for (const auto& [address, node] : mNodes) {
-    asked += node.mState.mTraffic.mConfirmationQueries;
+    asked += node.mState.mCounters.mConfirmationQueries;
   }
   return asked;
 }
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -409,7 +409,7 @@
       CPPUNIT_ASSERT(output.mWrites.empty());
     }
     const State& state = world.Node(leader).mState;
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), state.mTraffic.mJoinsRefused);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), state.mCounters.mJoinsRefused);
     CPPUNIT_ASSERT_EQUAL(3, Members(world));
   }
 
