--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -222,9 +222,9 @@
 
 /// \brief Since when the group tolerates less than it should, and when that was
 /// last logged; 0 for not at all.
-struct GroupWatch
+struct GroupDegradation
 {
-  Micros mWeakSince = 0;
+  Micros mDegradedSince = 0;
   Micros mToldAt = 0;
 };
 
@@ -334,7 +334,7 @@
   Micros mHandOverAt = 0;
   /// When a refused request to join was last logged.
   Micros mJoinRefusedAt = 0;
-  GroupWatch mGroupWatch;
+  GroupDegradation mGroupDegradation;
   bool mReady = false;
   bool mStopping = false;
 };
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -124,7 +124,7 @@
     state.mGroup.mRules.mSnapshotEvery = kSnapshotEntries;
     state.mGroup.mRules.mRetained = kRetainedEntries;
     LoadRecovered(state, aOut);
-    NoteOpened(state, aOut);
+    LogOpened(state, aOut);
   }
   state.mGossip.mIncarnation = aSettings.mIncarnation;
   state.mUpstreamTurn = static_cast<std::size_t>(aRandom % 1021);
@@ -149,7 +149,7 @@
     TellOfHosts(aState, aNow, aOut);
     ForgetGoneHosts(aState, aNow);
     if (IsControlMember(aState)) {
-      WatchGroup(aState, aNow, aOut);
+      LogGroupHealth(aState, aNow, aOut);
     }
   }
   if (aState.mPushAt != 0 && aNow >= aState.mPushAt) {
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -12,15 +12,15 @@
 
 /// A voter that was not heard for this long does not count as answering: two
 /// reports in a row are missing.
-constexpr Micros kAnswersWithin = 2 * kHostReportInterval;
+constexpr Micros kAnswerTimeout = 2 * kHostReportInterval;
 /// A weakness that lasts shorter is a restart or an election, not worth a line.
-constexpr Micros kWeakFor = 1 * kSecond;
+constexpr Micros kDegradedLogDelay = 1 * kSecond;
 /// Pace of the lines while a weakness lasts.
-constexpr Micros kWeakLinePause = 5 * kSecond;
+constexpr Micros kDegradedLogInterval = 5 * kSecond;
 
 // The leader hears members themselves; others hear the hosts at their
 // addresses.
-bool Answers(const State& aState, const wire::Member& aMember, Micros aNow)
+bool IsAnswering(const State& aState, const wire::Member& aMember, Micros aNow)
 {
   const consensus::State& group = aState.mGroup;
   if (aMember.id() == group.mId) {
@@ -29,11 +29,11 @@
   if (consensus::IsLeader(group)) {
     const auto progress = group.mProgress.find(aMember.id());
     return progress != group.mProgress.end() &&
-           aNow - progress->second.mHeardAt < kAnswersWithin;
+           aNow - progress->second.mHeardAt < kAnswerTimeout;
   }
   const auto host = aState.mHosts.find(aMember.address());
   return host != aState.mHosts.end() && !host->second.mGone &&
-         aNow - host->second.mHeardAt < kAnswersWithin;
+         aNow - host->second.mHeardAt < kAnswerTimeout;
 }
 
 std::string Describe(const GroupHealth& aHealth)
@@ -55,7 +55,7 @@
          std::to_string(consensus::TermAt(aGroup, last).value_or(0));
 }
 
-bool SpeaksForGroup(const State& aState)
+bool CanAssessGroup(const State& aState)
 {
   return consensus::IsLeader(aState.mGroup) || aState.mGroup.mLeader.empty();
 }
@@ -68,14 +68,14 @@
   for (const wire::Member& member : aState.mGroup.mMembership.members()) {
     if (member.voter()) {
       ++health.mVoters;
-      health.mAnswering += Answers(aState, member, aNow) ? 1 : 0;
+      health.mAnswering += IsAnswering(aState, member, aNow) ? 1 : 0;
     }
   }
   health.mTolerated = health.mAnswering - (health.mVoters / 2 + 1);
   return health;
 }
 
-void NoteOpened(const State& aState, Output& aOut)
+void LogOpened(const State& aState, Output& aOut)
 {
   const consensus::State& group = aState.mGroup;
   const GroupHealth health = HealthOf(aState, group.mOpenedAt);
@@ -86,11 +86,11 @@
         std::to_string(aState.mCatalog.mVersion) + DescribeElection(group) });
 }
 
-void WatchGroup(State& aState, Micros aNow, Output& aOut)
+void LogGroupHealth(State& aState, Micros aNow, Output& aOut)
 {
   const GroupHealth health = HealthOf(aState, aNow);
-  GroupWatch& watch = aState.mGroupWatch;
-  const bool weak = SpeaksForGroup(aState) &&
+  GroupDegradation& watch = aState.mGroupDegradation;
+  const bool weak = CanAssessGroup(aState) &&
                     (consensus::IsLeader(aState.mGroup)
                        ? health.mTolerated < aState.mSettings.mToleratedLosses
                        : Votes(aState));
@@ -99,15 +99,17 @@
       aOut.mNotes.push_back(
         { 1,
           "event=group_strong after_ms=" +
-            std::to_string((aNow - watch.mWeakSince) / kMillisecond) +
+            std::to_string((aNow - watch.mDegradedSince) / kMillisecond) +
             Describe(health) });
     }
-    watch = GroupWatch();
+    watch = GroupDegradation();
     return;
   }
-  watch.mWeakSince = watch.mWeakSince == 0 ? aNow : watch.mWeakSince;
-  const bool due = watch.mToldAt == 0 || aNow - watch.mToldAt >= kWeakLinePause;
-  if (aNow - watch.mWeakSince < kWeakFor || !due) {
+  watch.mDegradedSince =
+    watch.mDegradedSince == 0 ? aNow : watch.mDegradedSince;
+  const bool due =
+    watch.mToldAt == 0 || aNow - watch.mToldAt >= kDegradedLogInterval;
+  if (aNow - watch.mDegradedSince < kDegradedLogDelay || !due) {
     return;
   }
   watch.mToldAt = aNow;
@@ -116,7 +118,8 @@
       std::string("event=") +
         (consensus::IsLeader(aState.mGroup) ? "group_weak"
                                             : "group_leaderless") +
-        " for_ms=" + std::to_string((aNow - watch.mWeakSince) / kMillisecond) +
+        " for_ms=" +
+        std::to_string((aNow - watch.mDegradedSince) / kMillisecond) +
         Describe(health) +
         " wanted=" + std::to_string(aState.mSettings.mToleratedLosses) +
         DescribeElection(aState.mGroup) });
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -42,10 +42,10 @@
 // --- group_health.cpp: what of the control group is there
 
 /// \brief Logs what this member's disk held at its start.
-void NoteOpened(const State& aState, Output& aOut);
+void LogOpened(const State& aState, Output& aOut);
 /// \brief Logs that the group tolerates less than the settings say, or has no
 /// leader, and for how long.
-void WatchGroup(State& aState, Micros aNow, Output& aOut);
+void LogGroupHealth(State& aState, Micros aNow, Output& aOut);
 
 // --- submit.cpp: commands to the leader and back
 void HandleSubmit(State& aState,
