--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -123,7 +123,7 @@
 };
 
 /// \brief A line for the log, in key=value form.
-struct Note
+struct LogLine
 {
   int mLevel = 1;
   std::string mText;
@@ -135,9 +135,9 @@
   std::vector<std::pair<std::string, wire::FleetMessage>> mMessages;
   std::vector<consensus::Write> mWrites;
   std::vector<Done> mDone;
-  std::vector<Note> mNotes;
+  std::vector<LogLine> mLogLines;
   /// Facts that other hosts told.
-  std::vector<gossip::Item> mNews;
+  std::vector<gossip::Item> mReceivedFacts;
   bool mPolicyChanged = false;
   bool mTargetsChanged = false;
   bool mHostsChanged = false;
@@ -378,7 +378,8 @@
                                  std::uint64_t aKnown,
                                  Output& aOut);
 
-/// \brief Tells the fleet a fact; what others tell comes in Output::mNews.
+/// \brief Tells the fleet a fact; what others tell comes in
+/// Output::mReceivedFacts.
 void Tell(State& aState, Micros aNow, gossip::Item aItem, Output& aOut);
 
 /// \brief Notes that all writes up to a sequence are on disk.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -30,7 +30,7 @@
   Result<catalog::State> loaded =
     catalog::Load(aState.mGroup.mSnapshot.state());
   if (!loaded) {
-    aOut.mNotes.push_back({ 3, "event=snapshot_unreadable" });
+    aOut.mLogLines.push_back({ 3, "event=snapshot_unreadable" });
     consensus::Failed(aState.mGroup);
     return;
   }
@@ -193,7 +193,7 @@
       HandleGossip(aState, aNow, from, aMessage.gossip(), aOut);
       break;
     case wire::FleetMessage::BODY_NOT_SET:
-      aOut.mNotes.push_back({ 2, "event=message_unknown from=" + from });
+      aOut.mLogLines.push_back({ 2, "event=message_unknown from=" + from });
       break;
   }
   TellThoseWhoAsked(aState, aNow, aOut);
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -52,7 +52,7 @@
   }
   Result<catalog::State> loaded = catalog::Load(aSnapshot.state());
   if (!loaded) {
-    aOut.mNotes.push_back({ 3, "event=snapshot_unreadable" });
+    aOut.mLogLines.push_back({ 3, "event=snapshot_unreadable" });
     consensus::Failed(aState.mGroup);
     return;
   }
@@ -103,7 +103,7 @@
                            command.has_remove_target();
   } else {
     outcome.set_reason("unreadable command");
-    aOut.mNotes.push_back(
+    aOut.mLogLines.push_back(
       { 3,
         "event=command_unreadable index=" + std::to_string(aEntry.index()) });
   }
@@ -151,7 +151,7 @@
     return;
   }
   const bool lost = leader.empty();
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 1,
       "event=" + std::string(lost ? "leader_lost" : "leader_known") +
         " leader=" + leader + " term=" + std::to_string(aState.mGroup.mTerm) +
@@ -172,7 +172,7 @@
 {
   wire::CatalogCommand command;
   if (!command.ParseFromString(aCommand)) {
-    aOut.mNotes.push_back({ 3, "event=command_unreadable" });
+    aOut.mLogLines.push_back({ 3, "event=command_unreadable" });
     return;
   }
   (void)catalog::Apply(aState.mCatalog, command);
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -79,7 +79,7 @@
 {
   const consensus::State& group = aState.mGroup;
   const GroupHealth health = HealthOf(aState, group.mOpenedAt);
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 1,
       "event=group_opened member=" + group.mId +
         " voters=" + std::to_string(health.mVoters) + " policy=" +
@@ -96,7 +96,7 @@
                        : Votes(aState));
   if (!weak) {
     if (watch.mToldAt != 0) {
-      aOut.mNotes.push_back(
+      aOut.mLogLines.push_back(
         { 1,
           "event=group_strong after_ms=" +
             std::to_string((aNow - watch.mDegradedSince) / kMillisecond) +
@@ -113,7 +113,7 @@
     return;
   }
   watch.mToldAt = aNow;
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 2,
       std::string("event=") +
         (consensus::IsLeader(aState.mGroup) ? "group_weak"
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -275,7 +275,7 @@
   aState.mUpstreamIncarnation = aMessage.hosts_incarnation();
   if (changes > 0) {
     aOut.mHostsChanged = true;
-    aOut.mNotes.push_back(
+    aOut.mLogLines.push_back(
       { 1,
         "event=hosts_changed changes=" + std::to_string(changes) +
           " known=" + std::to_string(aState.mHosts.size()) +
@@ -363,7 +363,7 @@
       host.mGone = true;
       host.mSequence = ++aState.mHostsSequence;
       aState.mHostsUrgent = host.mSequence;
-      aOut.mNotes.push_back(
+      aOut.mLogLines.push_back(
         { 2,
           "event=host_gone host=" + address + " told_by=" + host.mReportedBy +
             " silent_ms=" +
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -125,10 +125,10 @@
   if (!index) {
     return;
   }
-  aOut.mNotes.push_back({ 1,
-                          "event=members_change why=" + aWhy + " voters=" +
-                            std::to_string(consensus::VoterCount(aNext)) +
-                            " index=" + std::to_string(index.value()) });
+  aOut.mLogLines.push_back({ 1,
+                             "event=members_change why=" + aWhy + " voters=" +
+                               std::to_string(consensus::VoterCount(aNext)) +
+                               " index=" + std::to_string(index.value()) });
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
@@ -438,9 +438,9 @@
     return;
   }
   aState.mJoinRefusedAt = aNow;
-  aOut.mNotes.push_back({ 2,
-                          "event=join_refused member=" + aJoiner.id() +
-                            " reason=\"" + aFault + "\"" });
+  aOut.mLogLines.push_back({ 2,
+                             "event=join_refused member=" + aJoiner.id() +
+                               " reason=\"" + aFault + "\"" });
 }
 
 } // namespace
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -43,7 +43,7 @@
     SendTo(aState, address, std::move(message), aOut);
   }
   for (gossip::Item& item : aGossip.mNews) {
-    aOut.mNews.push_back(std::move(item));
+    aOut.mReceivedFacts.push_back(std::move(item));
   }
 }
 
--- a/src/fleet/taking.cpp
+++ b/src/fleet/taking.cpp
@@ -24,9 +24,9 @@
 {
   Result<catalog::State> loaded = ReadSnapshot(aMessage);
   if (!loaded) {
-    aOut.mNotes.push_back({ 3,
-                            "event=snapshot_unreadable reason=\"" +
-                              loaded.error().mMessage + "\"" });
+    aOut.mLogLines.push_back({ 3,
+                               "event=snapshot_unreadable reason=\"" +
+                                 loaded.error().mMessage + "\"" });
     return;
   }
   // A policy that came ahead may be newer than the snapshot's.
@@ -39,7 +39,7 @@
   aState.mRecentBytes = 0;
   aOut.mPolicyChanged = true;
   aOut.mTargetsChanged = true;
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 1,
       "event=catalog_taken from=" + aFrom +
         " index=" + std::to_string(aState.mApplied) +
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -60,7 +60,7 @@
   Suspect(aState, last, aNow);
   ++aState.mCounters.mUpstreamsLost;
   const std::string next = NextControl(aState, aNow);
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 2,
       "event=upstream_lost upstream=" + last + " next=" + next + " silent_ms=" +
         std::to_string((aNow - aState.mUpstreamHeardAt) / kMillisecond) +
@@ -141,7 +141,7 @@
   wire::Follow leaving = OwnReport(aState, aNow);
   leaving.set_leaves(true);
   SendReport(aState, aState.mUpstream, std::move(leaving), aOut);
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 1,
       "event=upstream_changed upstream=" + aState.mUpstream +
         " next=" + aState.mNextUpstream });
@@ -298,10 +298,10 @@
 void NoteInTouch(State& aState, bool aInTouch, Output& aOut)
 {
   if (aInTouch != aState.mInTouch) {
-    aOut.mNotes.push_back({ aInTouch ? 1 : 2,
-                            std::string("event=control_") +
-                              (aInTouch ? "regained" : "lost") +
-                              " upstream=" + aState.mUpstream });
+    aOut.mLogLines.push_back({ aInTouch ? 1 : 2,
+                               std::string("event=control_") +
+                                 (aInTouch ? "regained" : "lost") +
+                                 " upstream=" + aState.mUpstream });
   }
   aState.mInTouch = aInTouch;
   aState.mDiscoveryPause = aInTouch ? 0 : aState.mDiscoveryPause;
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -51,7 +51,7 @@
 {
   const Micros age =
     aNow - std::max(aState.mConfirmedAt, aState.mUpstreamSince);
-  aOut.mNotes.push_back(
+  aOut.mLogLines.push_back(
     { 1,
       "event=word_late age_ms=" + std::to_string(age / kMillisecond) +
         " upstream=" + aState.mUpstream + " upstream_silent_ms=" +
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,12 +93,12 @@
     dispatch::AdmitUnrouted(state.mDispatch, aContext.mNow, effects);
     Append(aContext, std::move(effects));
   }
-  for (const gossip::Item& item : aFleet.mNews) {
+  for (const gossip::Item& item : aFleet.mReceivedFacts) {
     dispatch::Effects effects;
     dispatch::TakeGossip(state.mDispatch, aContext.mNow, item, effects);
     Append(aContext, std::move(effects));
   }
-  for (const fleet::Note& note : aFleet.mNotes) {
+  for (const fleet::LogLine& note : aFleet.mLogLines) {
     aContext.Log(note.mLevel, note.mText);
   }
   // Writes come before messages: none of these promises what is not written.
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -160,7 +160,7 @@
   for (const fleet::Done& done : aOutput.mDone) {
     node.mDone[done.mId] = done;
   }
-  for (const fleet::Note& note : aOutput.mNotes) {
+  for (const fleet::LogLine& note : aOutput.mLogLines) {
     node.mNotes.push_back(note.mText);
   }
 }
