--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -91,11 +91,11 @@
 };
 
 /// \brief How a submitted command ended.
-enum class SubmitEnd
+enum class SubmitResult
 {
   Committed,
   /// Not known to have been committed in time; it may be later.
-  Unclear
+  Unknown
 };
 
 /// \brief How a read of the policy went, for whoever asks why it was late.
@@ -111,10 +111,10 @@
 };
 
 /// \brief A submitted command's end, for whoever submitted it.
-struct Done
+struct Completion
 {
   std::uint64_t mId = 0;
-  SubmitEnd mEnd = SubmitEnd::Unclear;
+  SubmitResult mEnd = SubmitResult::Unknown;
   wire::CatalogOutcome mOutcome;
   std::string mReason;
   /// With a read: the policy, where this host's is older.
@@ -134,7 +134,7 @@
 {
   std::vector<std::pair<std::string, wire::FleetMessage>> mMessages;
   std::vector<consensus::Write> mWrites;
-  std::vector<Done> mDone;
+  std::vector<Completion> mDone;
   std::vector<LogLine> mLogLines;
   /// Facts that other hosts told.
   std::vector<gossip::Item> mReceivedFacts;
@@ -144,7 +144,7 @@
 };
 
 /// \brief A command of this host on its way to the leader.
-struct Pending
+struct PendingCommand
 {
   std::string mCommand;
   bool mUrgent = false;
@@ -319,7 +319,7 @@
   bool mInTouch = false;
 
   std::uint64_t mLastSubmitId = 0;
-  std::map<std::uint64_t, Pending> mPending;
+  std::map<std::uint64_t, PendingCommand> mPending;
   std::map<std::uint64_t, Waiter> mWaiters;
   /// At the leader: reads by the host that asks and its number for them.
   std::map<std::pair<std::string, std::uint64_t>, PendingRead> mReads;
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -41,7 +41,7 @@
   return !aCommand.has_put_target() || aCommand.put_target().draining();
 }
 
-Micros RetryPauseOf(const Pending& aPending)
+Micros RetryPauseOf(const PendingCommand& aPending)
 {
   return aPending.mKnownPolicyVersion
            ? std::clamp(2 * aPending.mRetryPause, kReadRetry, 2 * kReadRetry)
@@ -51,7 +51,7 @@
 void SendPendingTo(State& aState,
                    Micros aNow,
                    std::uint64_t aId,
-                   Pending& aPending,
+                   PendingCommand& aPending,
                    const std::string& aTo,
                    Output& aOut)
 {
@@ -80,7 +80,9 @@
 
 // Without a leader's name, or with one that has been asked, control hosts are
 // asked in turn: one that answers names the leader.
-std::string NextDestination(State& aState, Micros aNow, Pending& aPending)
+std::string NextDestination(State& aState,
+                            Micros aNow,
+                            PendingCommand& aPending)
 {
   const std::string& leader = aState.mLeaderAddress;
   const auto& control = aState.mControlAddresses;
@@ -95,7 +97,7 @@
 void SendPending(State& aState,
                  Micros aNow,
                  std::uint64_t aId,
-                 Pending& aPending,
+                 PendingCommand& aPending,
                  Output& aOut)
 {
   aPending.mRedirects = 0;
@@ -106,7 +108,7 @@
 void FollowRedirect(State& aState,
                     Micros aNow,
                     std::uint64_t aId,
-                    Pending& aPending,
+                    PendingCommand& aPending,
                     const std::string& aLeader,
                     Output& aOut)
 {
@@ -132,7 +134,7 @@
                            Output& aOut)
 {
   const std::uint64_t id = ++aState.mLastSubmitId;
-  Pending& pending = aState.mPending[id];
+  PendingCommand& pending = aState.mPending[id];
   pending.mCommand = aCommand.SerializeAsString();
   pending.mUrgent = IsUrgent(aCommand);
   pending.mStartedAt = aNow;
@@ -142,9 +144,11 @@
   return id;
 }
 
-Done CompletionOf(std::uint64_t aId, const Pending& aPending, Micros aNow)
+Completion CompletionOf(std::uint64_t aId,
+                        const PendingCommand& aPending,
+                        Micros aNow)
 {
-  Done done;
+  Completion done;
   done.mId = aId;
   done.mRead.mTries = aPending.mTries;
   done.mRead.mElapsed = aNow - aPending.mStartedAt;
@@ -159,7 +163,7 @@
             Output& aOut)
 {
   const auto found = aState.mPending.find(aId);
-  Done done = CompletionOf(aId, found->second, aNow);
+  Completion done = CompletionOf(aId, found->second, aNow);
   done.mReason = aReason + ", leader=" + aState.mLeaderAddress;
   aOut.mDone.push_back(std::move(done));
   aState.mPending.erase(found);
@@ -173,9 +177,9 @@
                      Output& aOut)
 {
   const auto found = aState.mPending.find(aMessage.id());
-  Done done = CompletionOf(aMessage.id(), found->second, aNow);
+  Completion done = CompletionOf(aMessage.id(), found->second, aNow);
   aState.mPending.erase(found);
-  done.mEnd = SubmitEnd::Committed;
+  done.mEnd = SubmitResult::Committed;
   done.mOutcome = aMessage.outcome();
   done.mRead.mLeader = aMessage.leader_address();
   done.mRead.mLeaderWait = aMessage.waited_ms() * kMillisecond;
@@ -194,7 +198,7 @@
 void HandleNoLeader(State& aState,
                     Micros aNow,
                     std::uint64_t aId,
-                    Pending& aPending,
+                    PendingCommand& aPending,
                     Output& aOut)
 {
   if (++aPending.mNoLeaderReplies >= aState.mControlAddresses.size()) {
@@ -303,7 +307,7 @@
     CompleteCommand(aState, aNow, aMessage, aOut);
     return;
   }
-  Pending& pending = found->second;
+  PendingCommand& pending = found->second;
   const std::string& hint = aMessage.leader_address();
   const bool isRead = pending.mKnownPolicyVersion.has_value();
   if (aMessage.status() != wire::SUBMIT_NOT_LEADER) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -108,7 +108,7 @@
   for (auto& [address, message] : aFleet.mMessages) {
     aContext.mOut.emplace_back(SendPeer{ address, std::move(message) });
   }
-  for (const fleet::Done& done : aFleet.mDone) {
+  for (const fleet::Completion& done : aFleet.mDone) {
     EndOperation(aContext, done);
   }
   AnswerReads(aContext);
--- a/src/gateway/internal.h
+++ b/src/gateway/internal.h
@@ -30,7 +30,7 @@
 void TakePutPolicy(Context& aContext, const PutPolicy& aCall);
 void TakeReadPolicy(Context& aContext, const ReadPolicy& aCall);
 /// \brief Answers the call whose command has ended.
-void EndOperation(Context& aContext, const fleet::Done& aDone);
+void EndOperation(Context& aContext, const fleet::Completion& aDone);
 /// \brief Answers reads whose version this host holds, or whose time is up.
 void AnswerReads(Context& aContext);
 
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -71,7 +71,7 @@
 // came along, the read ends with it.
 void EndRead(Context& aContext,
              const Operation& aOperation,
-             const fleet::Done& aDone)
+             const fleet::Completion& aDone)
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
@@ -81,7 +81,7 @@
   answer.mReason = Describe(aDone.mRead, state, aContext.mNow);
   const std::uint64_t version = aDone.mOutcome.version();
   const char* name = NameOf(OperationKind::ReadPolicy);
-  if (aDone.mEnd != fleet::SubmitEnd::Committed) {
+  if (aDone.mEnd != fleet::SubmitResult::Committed) {
     answer.mReason += ", " + aDone.mReason;
   } else if (version == 0) {
     answer.mReason += ", no policy yet";
@@ -113,7 +113,7 @@
   return kEndNames[static_cast<std::size_t>(aEnd)];
 }
 
-void EndOperation(Context& aContext, const fleet::Done& aDone)
+void EndOperation(Context& aContext, const fleet::Completion& aDone)
 {
   State& state = aContext.mState;
   const auto found = state.mOperations.find(aDone.mId);
@@ -122,7 +122,7 @@
   }
   const Operation operation = found->second;
   state.mOperations.erase(found);
-  const bool committed = aDone.mEnd == fleet::SubmitEnd::Committed;
+  const bool committed = aDone.mEnd == fleet::SubmitResult::Committed;
   if (operation.mKind == OperationKind::ReadPolicy) {
     EndRead(aContext, operation, aDone);
     return;
--- a/tests/fakes/fleet_player.cpp
+++ b/tests/fakes/fleet_player.cpp
@@ -466,8 +466,8 @@
     if (done == node.mDone.end()) {
       return;
     }
-    const fleet::Done& end = done->second;
-    if (end.mEnd == fleet::SubmitEnd::Committed && end.mOutcome.accepted()) {
+    const fleet::Completion& end = done->second;
+    if (end.mEnd == fleet::SubmitResult::Committed && end.mOutcome.accepted()) {
       mAcknowledged = std::max(mAcknowledged, mSent->mVersion);
       mAcknowledgedAt.emplace(mAcknowledged, mWorld.mNow);
     }
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -157,7 +157,7 @@
     Charge(node, message);
     mQueue.emplace(mNow + kTrip, std::move(sent));
   }
-  for (const fleet::Done& done : aOutput.mDone) {
+  for (const fleet::Completion& done : aOutput.mDone) {
     node.mDone[done.mId] = done;
   }
   for (const fleet::LogLine& note : aOutput.mLogLines) {
@@ -296,7 +296,7 @@
   (void)Until(2 * kSecond, [&] { return node.mDone.count(id) != 0; });
   const auto found = node.mDone.find(id);
   return found != node.mDone.end() &&
-         found->second.mEnd == fleet::SubmitEnd::Committed &&
+         found->second.mEnd == fleet::SubmitResult::Committed &&
          found->second.mOutcome.accepted();
 }
 
--- a/tests/fakes/fleet_world.h
+++ b/tests/fakes/fleet_world.h
@@ -25,7 +25,7 @@
   std::deque<consensus::Write> mUnsynced;
   bool mAlive = false;
   /// Ends of submitted commands, by id.
-  std::map<std::uint64_t, fleet::Done> mDone;
+  std::map<std::uint64_t, fleet::Completion> mDone;
   std::vector<std::string> mNotes;
   /// Messages that have arrived and wait for the processor.
   fleet::Inbox mInbox;
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -35,7 +35,7 @@
   if (done == node.mDone.end()) {
     return false;
   }
-  if (done->second.mEnd != fleet::SubmitEnd::Committed) {
+  if (done->second.mEnd != fleet::SubmitResult::Committed) {
     return true;
   }
   ++mAnswered;
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -137,7 +137,7 @@
       const auto done = ends.find(id);
       CPPUNIT_ASSERT_MESSAGE(host, done != ends.end());
       CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mElapsed < kPatience);
-      const bool good = done->second.mEnd == SubmitEnd::Committed;
+      const bool good = done->second.mEnd == SubmitResult::Committed;
       CPPUNIT_ASSERT(!good || done->second.mOutcome.version() == 2);
       answered += good ? 1 : 0;
     }
@@ -216,7 +216,7 @@
       if (done == node.mDone.end()) {
         continue;
       }
-      if (done->second.mEnd != SubmitEnd::Committed) {
+      if (done->second.mEnd != SubmitResult::Committed) {
         return false;
       }
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), done->second.mOutcome.version());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -320,8 +320,8 @@
     int accepted = 0;
     std::string winner;
     for (const auto& [address, id] : submitted) {
-      const Done& done = mWorld.Node(address).mDone.at(id);
-      CPPUNIT_ASSERT(done.mEnd == SubmitEnd::Committed);
+      const Completion& done = mWorld.Node(address).mDone.at(id);
+      CPPUNIT_ASSERT(done.mEnd == SubmitResult::Committed);
       accepted += done.mOutcome.accepted() ? 1 : 0;
       winner = done.mOutcome.accepted() ? address : winner;
     }
