--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -380,7 +380,7 @@
 
 /// \brief Tells the fleet a fact; what others tell comes in
 /// Output::mReceivedFacts.
-void Tell(State& aState, Micros aNow, gossip::Item aItem, Output& aOut);
+void ShareFact(State& aState, Micros aNow, gossip::Item aItem, Output& aOut);
 
 /// \brief Notes that all writes up to a sequence are on disk.
 void Synced(State& aState, Micros aNow, std::uint64_t aSequence, Output& aOut);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -160,7 +160,7 @@
   QueryConfirmation(aState, aNow, aOut);
   RetryPending(aState, aNow, aOut);
   TellThoseWhoAsked(aState, aNow, aOut);
-  TellNeighbours(aState, aNow, aOut);
+  GossipToNeighbours(aState, aNow, aOut);
 }
 
 void Receive(State& aState,
@@ -197,7 +197,7 @@
       break;
   }
   TellThoseWhoAsked(aState, aNow, aOut);
-  TellNeighbours(aState, aNow, aOut);
+  GossipToNeighbours(aState, aNow, aOut);
 }
 
 void Synced(State& aState, Micros aNow, std::uint64_t aSequence, Output& aOut)
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -123,7 +123,7 @@
   }
   follower.mHost = host;
   if (isNew) {
-    KeepNeighbours(aState);
+    UpdateNeighbours(aState);
   }
   follower.mSent = aMessage.applied();
   follower.mPolicySent = PolicyOf(aMessage);
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -268,9 +268,9 @@
                   const wire::Gossip& aMessage,
                   Output& aOut);
 /// \brief Looks who the neighbours are.
-void KeepNeighbours(State& aState);
+void UpdateNeighbours(State& aState);
 /// \brief Tells neighbours the facts that they lack.
-void TellNeighbours(State& aState, Micros aNow, Output& aOut);
+void GossipToNeighbours(State& aState, Micros aNow, Output& aOut);
 
 // --- fleet.cpp
 void SendTo(State& aState,
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -49,10 +49,10 @@
 
 } // namespace
 
-void Tell(State& aState, Micros aNow, gossip::Item aItem, Output& aOut)
+void ShareFact(State& aState, Micros aNow, gossip::Item aItem, Output& aOut)
 {
   if (gossip::Note(aState.mGossip, aNow, std::move(aItem))) {
-    TellNeighbours(aState, aNow, aOut);
+    GossipToNeighbours(aState, aNow, aOut);
   }
 }
 
@@ -65,22 +65,22 @@
   gossip::Output output;
   gossip::Receive(aState.mGossip, aNow, aFrom, aMessage, output);
   Send(aState, std::move(output), aOut);
-  TellNeighbours(aState, aNow, aOut);
+  GossipToNeighbours(aState, aNow, aOut);
 }
 
-void KeepNeighbours(State& aState)
+void UpdateNeighbours(State& aState)
 {
   if (!aState.mGossip.mEntries.empty()) {
     gossip::SetNeighbours(aState.mGossip, Neighbours(aState));
   }
 }
 
-void TellNeighbours(State& aState, Micros aNow, Output& aOut)
+void GossipToNeighbours(State& aState, Micros aNow, Output& aOut)
 {
   if (aNow < gossip::NextTick(aState.mGossip)) {
     return;
   }
-  KeepNeighbours(aState);
+  UpdateNeighbours(aState);
   gossip::Output output;
   gossip::Tick(aState.mGossip, aNow, output);
   Send(aState, std::move(output), aOut);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,7 +23,7 @@
   for (dispatch::Effect& effect : aEffects) {
     if (auto* tell = std::get_if<dispatch::TellFleet>(&effect)) {
       fleet::Output output;
-      fleet::Tell(
+      fleet::ShareFact(
         aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
       TakeFleet(aContext, std::move(output));
       continue;
