--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -264,13 +264,13 @@
   std::uint64_t mHostsSequence = 0;
   /// Digest of all hosts as of a change.
   std::uint64_t mHostsDigest = 0;
-  std::uint64_t mHostsDigestAt = 0;
+  std::uint64_t mHostsDigestSequence = 0;
   /// Last change taken from the upstream, and the upstream's incarnation.
   std::uint64_t mUpstreamSequence = 0;
   std::uint64_t mUpstreamIncarnation = 0;
   int mReportCount = 0;
   /// Last change that the own directory was told of.
-  std::uint64_t mHostsTold = 0;
+  std::uint64_t mHostsPublished = 0;
   /// Last change that the other control hosts were told of.
   std::uint64_t mHostsShared = 0;
   /// Last change that followers must hear of without waiting for their report.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -146,7 +146,7 @@
     RefreshOwnHost(aState, aNow);
     SendReports(aState, aNow, aOut);
     ExpireHosts(aState, aNow, aOut);
-    TellOfHosts(aState, aNow, aOut);
+    PublishHostChanges(aState, aNow, aOut);
     ForgetGoneHosts(aState, aNow);
     if (IsControlMember(aState)) {
       LogGroupHealth(aState, aNow, aOut);
@@ -216,7 +216,7 @@
   aState.mReady = aReady;
   RefreshOwnHost(aState, aNow);
   SendReports(aState, aNow, aOut);
-  TellOfHosts(aState, aNow, aOut);
+  PublishHostChanges(aState, aNow, aOut);
 }
 
 void BeginStop(State& aState, Micros aNow, Output& aOut)
@@ -228,7 +228,7 @@
   aState.mReady = false;
   RefreshOwnHost(aState, aNow);
   SendReports(aState, aNow, aOut);
-  TellOfHosts(aState, aNow, aOut);
+  PublishHostChanges(aState, aNow, aOut);
   HandOverLead(aState, aNow, aOut);
 }
 
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -38,7 +38,7 @@
 {
   wire::Follow follow = OwnReport(aState, aNow);
   follow.set_votes(true);
-  ShareFollowers(aState, aNow, follow);
+  AddFollowersToReport(aState, aNow, follow);
   for (const std::string& address : aState.mControlAddresses) {
     if (address == aState.mSettings.mPeerAddress) {
       continue;
@@ -208,7 +208,7 @@
   }
   // A host at a voter's address may be a new one with an empty disk: what it
   // says of itself counts.
-  TellOfHosts(aState, aNow, aOut);
+  PublishHostChanges(aState, aNow, aOut);
   if (aMessage.once() && Votes(aState)) {
     AnswerQuery(aState, aNow, aFrom, aMessage, aOut);
     return;
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -15,9 +15,9 @@
 /// A host that is gone is remembered for this long, so that all have heard of
 /// it and a late word of it does not bring it back: twice the time in which
 /// control hosts look for it.
-constexpr Micros kRememberGone = 60 * kSecond;
+constexpr Micros kGoneRetention = 60 * kSecond;
 /// What another control host tells of is older by its pace.
-constexpr Micros kSharedLease =
+constexpr Micros kIndirectLease =
   kHostLease + kFullReportEvery * kHostReportInterval;
 
 std::uint64_t DigestOf(const Host& aHost)
@@ -43,7 +43,7 @@
   }
 }
 
-bool NeedsHaste(const Host& aHost)
+bool IsUrgentChange(const Host& aHost)
 {
   return aHost.mGone || aHost.mStopping;
 }
@@ -59,7 +59,7 @@
   Host& known = aState.mHosts[aHost.mPeerAddress];
   known = aHost;
   known.mSequence = ++aState.mHostsSequence;
-  if (NeedsHaste(known)) {
+  if (IsUrgentChange(known)) {
     aState.mHostsUrgent = known.mSequence;
   }
   return true;
@@ -188,12 +188,12 @@
 // Reports are many and changes are few.
 std::uint64_t DigestOfAll(State& aState, const std::string& aExcept)
 {
-  if (aState.mHostsDigestAt != aState.mHostsSequence) {
+  if (aState.mHostsDigestSequence != aState.mHostsSequence) {
     aState.mHostsDigest = 0;
     for (const auto& [dataCentre, digest] : Digests(aState, "")) {
       aState.mHostsDigest ^= digest;
     }
-    aState.mHostsDigestAt = aState.mHostsSequence;
+    aState.mHostsDigestSequence = aState.mHostsSequence;
   }
   const auto found = aState.mHosts.find(aExcept);
   const bool counted = found != aState.mHosts.end() && !found->second.mGone;
@@ -301,7 +301,7 @@
 {
   // Known from the upstream that this host had before it got its vote.
   if (aHost.mReportedBy.empty()) {
-    return kSharedLease + kMoveTime;
+    return kIndirectLease + kFailoverTime;
   }
   const auto teller = aState.mHosts.find(aHost.mReportedBy);
   if (teller == aState.mHosts.end() ||
@@ -310,15 +310,15 @@
     return kHostLease;
   }
   const Micros lease =
-    HoldsControlAddress(aState, teller->first) ? kSharedLease : kHostLease;
+    HoldsControlAddress(aState, teller->first) ? kIndirectLease : kHostLease;
   const bool silent = teller->second.mGone ||
                       aNow - teller->second.mHeardAt > 2 * kHostReportInterval;
-  return silent ? lease + kMoveTime : lease;
+  return silent ? lease + kFailoverTime : lease;
 }
 
 // Other control hosts trust in whoever told of a host last: that this one does
 // now is news to them, though the host is as it was.
-void ShareFollowers(State& aState, Micros aNow, wire::Follow& aFollow)
+void AddFollowersToReport(State& aState, Micros aNow, wire::Follow& aFollow)
 {
   const bool all = ++aState.mReportCount % kFullReportEvery == 0;
   const std::string& self = aState.mSettings.mPeerAddress;
@@ -341,7 +341,7 @@
 {
   for (auto it = aState.mHosts.begin(); it != aState.mHosts.end();) {
     const Host& host = it->second;
-    const bool forgotten = host.mGone && aNow - host.mHeardAt > kRememberGone;
+    const bool forgotten = host.mGone && aNow - host.mHeardAt > kGoneRetention;
     it = forgotten ? aState.mHosts.erase(it) : std::next(it);
   }
 }
@@ -372,13 +372,13 @@
   }
 }
 
-void TellOfHosts(State& aState, Micros aNow, Output& aOut)
+void PublishHostChanges(State& aState, Micros aNow, Output& aOut)
 {
-  if (!Votes(aState) || aState.mHostsSequence == aState.mHostsTold) {
+  if (!Votes(aState) || aState.mHostsSequence == aState.mHostsPublished) {
     return;
   }
-  const bool urgent = aState.mHostsUrgent > aState.mHostsTold;
-  aState.mHostsTold = aState.mHostsSequence;
+  const bool urgent = aState.mHostsUrgent > aState.mHostsPublished;
+  aState.mHostsPublished = aState.mHostsSequence;
   aOut.mHostsChanged = true;
   // Followers hear of most changes with their next report's answer; a host
   // that stops or is gone must leave their answers to clients sooner.
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -11,7 +11,7 @@
 constexpr Micros kHostLease = 6 * kHostReportInterval;
 /// \brief Time in which a host whose control host fell silent has found another
 /// one and the others know: its patience, a report, and a report on it.
-constexpr Micros kMoveTime = kUpstreamPatience + 2 * kHostReportInterval;
+constexpr Micros kFailoverTime = kUpstreamPatience + 2 * kHostReportInterval;
 
 // --- group.cpp: the control group
 
@@ -237,7 +237,7 @@
                                         const std::string& aExcept);
 /// \brief At a control host: adds to its report for the others the hosts that
 /// follow it, directly or not: what changed, and all at a slower pace.
-void ShareFollowers(State& aState, Micros aNow, wire::Follow& aFollow);
+void AddFollowersToReport(State& aState, Micros aNow, wire::Follow& aFollow);
 /// \brief Puts the changes that a follower has not heard of into a reply.
 void FillHosts(const State& aState,
                Micros aNow,
@@ -259,7 +259,7 @@
 void ExpireHosts(State& aState, Micros aNow, Output& aOut);
 /// \brief At a control host: tells followers at once of hosts that stop or are
 /// gone.
-void TellOfHosts(State& aState, Micros aNow, Output& aOut);
+void PublishHostChanges(State& aState, Micros aNow, Output& aOut);
 
 // --- neighbours.cpp: with whom a host exchanges facts
 void HandleGossip(State& aState,
