--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -21,7 +21,7 @@
 // it only once its own upstream has told it, and passes these on by itself.
 bool CanSkipReply(const State& aState, Micros aNow, const Follower& aFollower)
 {
-  return !Votes(aState) && !Lacks(aState, aFollower) &&
+  return !Votes(aState) && !NeedsPush(aState, aFollower) &&
          !aFollower.mHostsDiffer && aFollower.mHostsSequence != 0 &&
          aNow - aFollower.mToldAt < kHostReportInterval;
 }
@@ -126,7 +126,7 @@
     UpdateNeighbours(aState);
   }
   follower.mSent = aMessage.applied();
-  follower.mPolicySent = PolicyOf(aMessage);
+  follower.mPolicySent = PolicyVersionOf(aMessage);
   follower.mCompact = aMessage.compact();
   if (follower.mSent >= follower.mSnapshotIndex) {
     follower.mSnapshotAt = 0;
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -108,7 +108,7 @@
         "event=command_unreadable index=" + std::to_string(aEntry.index()) });
   }
   if (!command.has_read_barrier()) {
-    Remember(aState, aEntry.index(), aEntry.command());
+    RecordCommand(aState, aEntry.index(), aEntry.command());
   }
   AnswerWaiter(aState, aNow, aEntry, outcome, aOut);
 }
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -151,12 +151,12 @@
 
 // --- replies.cpp: what a host tells those that follow it
 /// \brief Index of the last command that followers are told of.
-[[nodiscard]] std::uint64_t LastNews(const State& aState);
+[[nodiscard]] std::uint64_t LastCommandIndex(const State& aState);
 /// \brief True where a follower has not been told all that it must know at
 /// once.
-[[nodiscard]] bool Lacks(const State& aState, const Follower& aFollower);
+[[nodiscard]] bool NeedsPush(const State& aState, const Follower& aFollower);
 /// \brief Version of the policy that the sender of a report holds.
-[[nodiscard]] std::uint64_t PolicyOf(const wire::Follow& aMessage);
+[[nodiscard]] std::uint64_t PolicyVersionOf(const wire::Follow& aMessage);
 /// \brief Puts the commands into a reply that a follower lacks, or in their
 /// place a snapshot or the policy.
 void FillCommands(State& aState,
@@ -188,9 +188,11 @@
 /// hosts.
 void PushToFollowers(State& aState, Micros aNow, Output& aOut);
 /// \brief The same, where any of them lacks something.
-void PushNews(State& aState, Micros aNow, Output& aOut);
+void PushIfNeeded(State& aState, Micros aNow, Output& aOut);
 /// \brief Remembers a committed command for followers.
-void Remember(State& aState, std::uint64_t aIndex, const std::string& aCommand);
+void RecordCommand(State& aState,
+                   std::uint64_t aIndex,
+                   const std::string& aCommand);
 
 // --- whereabouts.cpp: who tells whom where the control group is
 
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kRecentBytes = 2 * 1024 * 1024;
 /// A follower that lacks more commands than these gets a snapshot where it
 /// reads a deflated one, which is smaller then.
-constexpr std::size_t kMostCommands = 300;
+constexpr std::size_t kMaxCommands = 300;
 
 const std::string& PackedCatalog(State& aState)
 {
@@ -63,15 +63,15 @@
 
 } // namespace
 
-bool Lacks(const State& aState, const Follower& aFollower)
+bool NeedsPush(const State& aState, const Follower& aFollower)
 {
-  return aFollower.mSent < LastNews(aState) ||
+  return aFollower.mSent < LastCommandIndex(aState) ||
          aFollower.mPolicySent < aState.mCatalog.mVersion ||
          aFollower.mHostsSequence < aState.mHostsUrgent;
 }
 
 // Hosts of an earlier version take no policy but with the commands before it.
-std::uint64_t PolicyOf(const wire::Follow& aMessage)
+std::uint64_t PolicyVersionOf(const wire::Follow& aMessage)
 {
   return aMessage.has_policy_version()
            ? aMessage.policy_version()
@@ -80,7 +80,7 @@
 
 // What the log holds beside, members and barriers of reads, is no news to
 // followers.
-std::uint64_t LastNews(const State& aState)
+std::uint64_t LastCommandIndex(const State& aState)
 {
   return aState.mRecent.empty() ? aState.mRecentBase
                                 : aState.mRecent.back().index();
@@ -92,7 +92,7 @@
                   wire::FollowReply& aReply)
 {
   const std::uint64_t from = aFollower.mSent;
-  if (from >= LastNews(aState)) {
+  if (from >= LastCommandIndex(aState)) {
     FillPolicy(aState, aFollower, aReply);
     return;
   }
@@ -105,7 +105,7 @@
     });
   const auto count = static_cast<std::size_t>(aState.mRecent.end() - first);
   if (from < aState.mRecentBase ||
-      (aFollower.mCompact && count > kMostCommands)) {
+      (aFollower.mCompact && count > kMaxCommands)) {
     FillSnapshot(aState, aNow, aFollower, aReply);
     return;
   }
@@ -125,7 +125,7 @@
 {
   Follower once;
   once.mSent = aMessage.applied();
-  once.mPolicySent = PolicyOf(aMessage);
+  once.mPolicySent = PolicyVersionOf(aMessage);
   once.mCompact = aMessage.compact();
   once.mSnapshotAt = aNow;
   FillCommands(aState, aNow, once, aReply);
@@ -178,7 +178,9 @@
   }
 }
 
-void Remember(State& aState, std::uint64_t aIndex, const std::string& aCommand)
+void RecordCommand(State& aState,
+                   std::uint64_t aIndex,
+                   const std::string& aCommand)
 {
   wire::CommittedCommand command;
   command.set_index(aIndex);
@@ -194,12 +196,12 @@
   }
 }
 
-void PushNews(State& aState, Micros aNow, Output& aOut)
+void PushIfNeeded(State& aState, Micros aNow, Output& aOut)
 {
-  const bool any =
-    std::any_of(aState.mFollowers.begin(),
-                aState.mFollowers.end(),
-                [&](const auto& aOne) { return Lacks(aState, aOne.second); });
+  const bool any = std::any_of(
+    aState.mFollowers.begin(), aState.mFollowers.end(), [&](const auto& aOne) {
+      return NeedsPush(aState, aOne.second);
+    });
   if (any) {
     PushToFollowers(aState, aNow, aOut);
   }
@@ -216,7 +218,7 @@
   aState.mPushedAt = aNow;
   aState.mPushAt = 0;
   for (auto& [address, follower] : aState.mFollowers) {
-    if (Lacks(aState, follower)) {
+    if (NeedsPush(aState, follower)) {
       SendReply(aState, aNow, address, follower, aOut);
     }
   }
--- a/src/fleet/taking.cpp
+++ b/src/fleet/taking.cpp
@@ -72,7 +72,7 @@
     if (command.index() > aState.mApplied) {
       ApplyCommand(aState, command.command(), aOut);
       aState.mApplied = command.index();
-      Remember(aState, command.index(), command.command());
+      RecordCommand(aState, command.index(), command.command());
     }
   }
   // Only a relay has use for what it has taken.
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -274,9 +274,9 @@
   (void)MergeControlAddresses(aState, aMessage);
 }
 
-void TellFollowers(State& aState, Micros aNow, bool aNewerWord, Output& aOut)
+void UpdateFollowers(State& aState, Micros aNow, bool aNewerWord, Output& aOut)
 {
-  PushNews(aState, aNow, aOut);
+  PushIfNeeded(aState, aNow, aOut);
   if (aNewerWord) {
     ForwardConfirmation(aState, aNow, aOut);
   }
@@ -431,7 +431,7 @@
   if (aMessage.once()) {
     HandleQueryAnswer(aState, aNow);
     (void)MergeControlAddresses(aState, aMessage);
-    TellFollowers(aState, aNow, newer, aOut);
+    UpdateFollowers(aState, aNow, newer, aOut);
     return;
   }
   const bool current =
@@ -450,7 +450,7 @@
     UpdateFromUpstream(aState, aNow, aMessage, aOut);
     ApplyHostChanges(aState, aNow, aMessage, aOut);
   }
-  TellFollowers(aState, aNow, newer, aOut);
+  UpdateFollowers(aState, aNow, newer, aOut);
 }
 
 } // namespace geraniumpond::fleet
--- a/src/fleet/word.cpp
+++ b/src/fleet/word.cpp
@@ -66,7 +66,7 @@
                        wire::FollowReply& aReply)
 {
   aReply.set_in_touch(IsInTouch(aState, aNow));
-  aReply.set_news_index(LastNews(aState));
+  aReply.set_news_index(LastCommandIndex(aState));
   if (const std::optional<Micros> age = ConfirmationAge(aState, aNow)) {
     aReply.set_word_age_ms(static_cast<std::uint32_t>(*age / kMillisecond));
   }
