--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -13,7 +13,7 @@
 /// Followers beyond which a newcomer is referred to one of them: twice what a
 /// place in the tree brings, for the time after a loss of many hosts and for
 /// data centres without a control host.
-constexpr std::size_t kMostFollowers = 24;
+constexpr std::size_t kMaxFollowers = 24;
 /// A relay passes on what its followers have to say together within this time.
 constexpr Micros kForwardPause = 50 * kMillisecond;
 
@@ -82,13 +82,13 @@
 // A fleet that starts would else follow the first host that is in touch: 470
 // lists of hosts and snapshots are 25 MB. Whoever lost its upstream gets what
 // it missed with the referral, a change of policy among it.
-bool Delegates(State& aState,
-               Micros aNow,
-               const Host& aAsker,
-               const wire::Follow& aMessage,
-               Output& aOut)
+bool TryRefer(State& aState,
+              Micros aNow,
+              const Host& aAsker,
+              const wire::Follow& aMessage,
+              Output& aOut)
 {
-  if (aState.mFollowers.size() < kMostFollowers ||
+  if (aState.mFollowers.size() < kMaxFollowers ||
       aState.mFollowers.count(aAsker.mPeerAddress) != 0) {
     return false;
   }
@@ -106,14 +106,14 @@
   return true;
 }
 
-void Serve(State& aState,
-           Micros aNow,
-           const std::string& aFrom,
-           const wire::Follow& aMessage,
-           Output& aOut)
+void ServeFollower(State& aState,
+                   Micros aNow,
+                   const std::string& aFrom,
+                   const wire::Follow& aMessage,
+                   Output& aOut)
 {
   const Host host = ReportedHost(aState, aNow, aMessage);
-  if (Delegates(aState, aNow, host, aMessage, aOut)) {
+  if (TryRefer(aState, aNow, host, aMessage, aOut)) {
     return;
   }
   Follower& follower = aState.mFollowers[aFrom];
@@ -175,14 +175,14 @@
   // Whoever this host follows itself, directly or not, cannot follow it.
   const auto& route = aState.mRoute;
   if (std::count(route.begin(), route.end(), aFrom) != 0) {
-    Refer(aState, aNow, aFrom, aOut);
+    ReferToControl(aState, aNow, aFrom, aOut);
     return;
   }
   RecordDownstream(aState, aNow, ReportedHost(aState, aNow, aMessage), aFrom);
   for (const wire::FleetHost& follower : aMessage.followers()) {
     RecordDownstream(aState, aNow, FromWire(follower, aNow), aFrom);
   }
-  Serve(aState, aNow, aFrom, aMessage, aOut);
+  ServeFollower(aState, aNow, aFrom, aMessage, aOut);
 }
 
 void DropFollower(State& aState, const std::string& aAddress)
@@ -216,15 +216,15 @@
   if (aMessage.votes() || !Votes(aState)) {
     aState.mFollowers.erase(aFrom);
     if (!aMessage.votes()) {
-      Refer(aState, aNow, aFrom, aOut);
+      ReferToControl(aState, aNow, aFrom, aOut);
     }
     return;
   }
   if (aMessage.brief()) {
-    Refer(aState, aNow, aFrom, aOut);
+    ReferToControl(aState, aNow, aFrom, aOut);
     return;
   }
-  Serve(aState, aNow, aFrom, aMessage, aOut);
+  ServeFollower(aState, aNow, aFrom, aMessage, aOut);
 }
 
 } // namespace
@@ -260,7 +260,7 @@
   } else if (IsControlMember(aState)) {
     HandleReportAsControl(aState, aNow, aFrom, aMessage, aOut);
   } else if (aMessage.brief() || aMessage.once() || !IsInTouch(aState, aNow)) {
-    Refer(aState, aNow, aFrom, aOut);
+    ReferToControl(aState, aNow, aFrom, aOut);
   } else {
     ServeAsRelay(aState, aNow, aFrom, aMessage, aOut);
   }
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -217,7 +217,10 @@
                   const std::string& aTo,
                   Output& aOut);
 /// \brief At a host that cannot be followed: names the group to an asker.
-void Refer(State& aState, Micros aNow, const std::string& aFrom, Output& aOut);
+void ReferToControl(State& aState,
+                    Micros aNow,
+                    const std::string& aFrom,
+                    Output& aOut);
 /// \brief At a voter in touch: makes the group known at seeds and at hosts that
 /// fell silent, a bounded number at a time.
 void Introduce(State& aState, Micros aNow, Output& aOut);
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -133,7 +133,10 @@
   SendTo(aState, aTo, std::move(message), aOut);
 }
 
-void Refer(State& aState, Micros aNow, const std::string& aFrom, Output& aOut)
+void ReferToControl(State& aState,
+                    Micros aNow,
+                    const std::string& aFrom,
+                    Output& aOut)
 {
   if (!IsInTouch(aState, aNow)) {
     aState.mAskedWhileOut.insert(aFrom);
