--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -257,7 +257,7 @@
   Micros mPushAt = 0;
   /// Hosts that asked while this one was out of touch; told when it no longer
   /// is.
-  std::set<std::string> mAskedWhileOut;
+  std::set<std::string> mDeferredAskers;
   /// All hosts by peer address, this one included.
   std::map<std::string, Host> mHosts;
   /// Numbers changes of hosts at this host.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -159,7 +159,7 @@
   DiscoverUpstream(aState, aNow, aOut);
   QueryConfirmation(aState, aNow, aOut);
   RetryPending(aState, aNow, aOut);
-  TellThoseWhoAsked(aState, aNow, aOut);
+  AnswerDeferredAskers(aState, aNow, aOut);
   GossipToNeighbours(aState, aNow, aOut);
 }
 
@@ -196,7 +196,7 @@
       aOut.mLogLines.push_back({ 2, "event=message_unknown from=" + from });
       break;
   }
-  TellThoseWhoAsked(aState, aNow, aOut);
+  AnswerDeferredAskers(aState, aNow, aOut);
   GossipToNeighbours(aState, aNow, aOut);
 }
 
@@ -205,7 +205,7 @@
   consensus::Output raft;
   consensus::Synced(aState.mGroup, aSequence, raft);
   Perform(aState, aNow, std::move(raft), aOut);
-  TellThoseWhoAsked(aState, aNow, aOut);
+  AnswerDeferredAskers(aState, aNow, aOut);
 }
 
 void SetReady(State& aState, Micros aNow, bool aReady, Output& aOut)
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -226,7 +226,7 @@
 void Introduce(State& aState, Micros aNow, Output& aOut);
 /// \brief Answers hosts again that asked while this one was out of touch, once
 /// it is back: their next report may be an interval away.
-void TellThoseWhoAsked(State& aState, Micros aNow, Output& aOut);
+void AnswerDeferredAskers(State& aState, Micros aNow, Output& aOut);
 
 // --- hosts.cpp: the list of hosts
 /// \brief True when two words of a host say the same but for their time.
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -17,7 +17,7 @@
 std::map<std::string, std::uint64_t> Neighbours(const State& aState)
 {
   std::map<std::string, std::uint64_t> neighbours;
-  for (const std::string& address : aState.mAskedWhileOut) {
+  for (const std::string& address : aState.mDeferredAskers) {
     neighbours[address] = IncarnationOf(aState, address);
   }
   if (IsControlMember(aState) || !aState.mInTouch) {
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -139,7 +139,7 @@
                     Output& aOut)
 {
   if (!IsInTouch(aState, aNow)) {
-    aState.mAskedWhileOut.insert(aFrom);
+    aState.mDeferredAskers.insert(aFrom);
   }
   if (aState.mMembershipVersion.mTerm > 0) {
     ReplyBriefly(aState, aNow, aFrom, aOut);
@@ -163,7 +163,7 @@
   }
 }
 
-void TellThoseWhoAsked(State& aState, Micros aNow, Output& aOut)
+void AnswerDeferredAskers(State& aState, Micros aNow, Output& aOut)
 {
   const bool inTouch = IsInTouch(aState, aNow);
   const bool regained = inTouch && !aState.mWasInTouch;
@@ -171,7 +171,7 @@
   if (!inTouch) {
     return;
   }
-  const std::set<std::string> asked = std::exchange(aState.mAskedWhileOut, {});
+  const std::set<std::string> asked = std::exchange(aState.mDeferredAskers, {});
   for (const std::string& address : asked) {
     ReplyBriefly(aState, aNow, address, aOut);
   }
