--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -280,7 +280,7 @@
   std::vector<std::string> mControlAddresses;
   MembershipVersion mMembershipVersion;
   /// Which of the silent hosts are tried next.
-  std::size_t mIntroduceTurn = 0;
+  std::size_t mSilentHostCursor = 0;
   bool mWasInTouch = false;
   std::string mUpstream;
   /// Hosts between this one and its control host, the upstream last.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -63,7 +63,7 @@
 // touch: silence says nothing of the others then.
 bool IsKnownAlive(const State& aState, const Host& aHost, Micros aNow)
 {
-  return !aHost.mGone && (!Votes(aState) ||
+  return !aHost.mGone && (!HasVote(aState) ||
                           aNow - aHost.mHeardAt < LeaseOf(aState, aHost, aNow));
 }
 
@@ -258,7 +258,7 @@
 // whose leader hears no quorum an old one.
 bool IsInTouch(const State& aState, Micros aNow)
 {
-  const bool votes = Votes(aState);
+  const bool votes = HasVote(aState);
   const bool hears = votes ? !aState.mGroup.mLeader.empty() : aState.mInTouch;
   const std::optional<Micros> age = ConfirmationAge(aState, aNow);
   return hears && age &&
@@ -269,13 +269,13 @@
 // log, which may lag behind.
 bool HasConfirmedCatalog(const State& aState, Micros aNow)
 {
-  const bool learns = IsControlMember(aState) && !Votes(aState);
+  const bool learns = IsControlMember(aState) && !HasVote(aState);
   return learns ? aState.mCaughtUpAt > 0 : IsInTouch(aState, aNow);
 }
 
 Micros ConfirmedAt(const State& aState, Micros aNow)
 {
-  if (!Votes(aState)) {
+  if (!HasVote(aState)) {
     return aState.mConfirmedAt;
   }
   if (!consensus::IsLeader(aState.mGroup)) {
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -21,7 +21,7 @@
 // it only once its own upstream has told it, and passes these on by itself.
 bool CanSkipReply(const State& aState, Micros aNow, const Follower& aFollower)
 {
-  return !Votes(aState) && !NeedsPush(aState, aFollower) &&
+  return !HasVote(aState) && !NeedsPush(aState, aFollower) &&
          !aFollower.mHostsDiffer && aFollower.mHostsSequence != 0 &&
          aNow - aFollower.mToldAt < kHostReportInterval;
 }
@@ -47,7 +47,7 @@
     *message.mutable_follow() = follow;
     SendTo(aState, address, std::move(message), aOut);
   }
-  Introduce(aState, aNow, aOut);
+  AnnounceGroup(aState, aNow, aOut);
 }
 
 Host ReportedHost(const State& aState,
@@ -209,11 +209,11 @@
   // A host at a voter's address may be a new one with an empty disk: what it
   // says of itself counts.
   PublishHostChanges(aState, aNow, aOut);
-  if (aMessage.once() && Votes(aState)) {
+  if (aMessage.once() && HasVote(aState)) {
     AnswerQuery(aState, aNow, aFrom, aMessage, aOut);
     return;
   }
-  if (aMessage.votes() || !Votes(aState)) {
+  if (aMessage.votes() || !HasVote(aState)) {
     aState.mFollowers.erase(aFrom);
     if (!aMessage.votes()) {
       ReferToControl(aState, aNow, aFrom, aOut);
@@ -232,7 +232,7 @@
 void SendReports(State& aState, Micros aNow, Output& aOut)
 {
   DropSilentFollowers(aState, aNow);
-  if (Votes(aState)) {
+  if (HasVote(aState)) {
     SendToControlHosts(aState, aNow, aOut);
   } else {
     KeepUpstream(aState, aNow, aOut);
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -93,7 +93,7 @@
   const bool weak = CanAssessGroup(aState) &&
                     (consensus::IsLeader(aState.mGroup)
                        ? health.mTolerated < aState.mSettings.mToleratedLosses
-                       : Votes(aState));
+                       : HasVote(aState));
   if (!weak) {
     if (watch.mToldAt != 0) {
       aOut.mLogLines.push_back(
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -310,7 +310,7 @@
     return kHostLease;
   }
   const Micros lease =
-    HoldsControlAddress(aState, teller->first) ? kIndirectLease : kHostLease;
+    IsControlAddress(aState, teller->first) ? kIndirectLease : kHostLease;
   const bool silent = teller->second.mGone ||
                       aNow - teller->second.mHeardAt > 2 * kHostReportInterval;
   return silent ? lease + kFailoverTime : lease;
@@ -348,7 +348,7 @@
 
 void ExpireHosts(State& aState, Micros aNow, Output& aOut)
 {
-  if (!Votes(aState)) {
+  if (!HasVote(aState)) {
     return;
   }
   // Without the group's majority silence says more of this host's links than
@@ -374,7 +374,7 @@
 
 void PublishHostChanges(State& aState, Micros aNow, Output& aOut)
 {
-  if (!Votes(aState) || aState.mHostsSequence == aState.mHostsPublished) {
+  if (!HasVote(aState) || aState.mHostsSequence == aState.mHostsPublished) {
     return;
   }
   const bool urgent = aState.mHostsUrgent > aState.mHostsPublished;
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -197,12 +197,12 @@
 // --- whereabouts.cpp: who tells whom where the control group is
 
 /// \brief True for the address of a known member of the control group.
-[[nodiscard]] bool HoldsControlAddress(const State& aState,
-                                       const std::string& aAddress);
+[[nodiscard]] bool IsControlAddress(const State& aState,
+                                    const std::string& aAddress);
 /// \brief Addresses at which the group may be found.
 [[nodiscard]] std::set<std::string> ControlAndSeeds(const State& aState);
 /// \brief True for a member of the group that holds the catalog by itself.
-[[nodiscard]] bool Votes(const State& aState) noexcept;
+[[nodiscard]] bool HasVote(const State& aState) noexcept;
 /// \brief Puts the group's addresses and their date into a reply.
 void WriteControlAddresses(const State& aState,
                            Micros aNow,
@@ -223,7 +223,7 @@
                     Output& aOut);
 /// \brief At a voter in touch: makes the group known at seeds and at hosts that
 /// fell silent, a bounded number at a time.
-void Introduce(State& aState, Micros aNow, Output& aOut);
+void AnnounceGroup(State& aState, Micros aNow, Output& aOut);
 /// \brief Answers hosts again that asked while this one was out of touch, once
 /// it is back: their next report may be an interval away.
 void AnswerDeferredAskers(State& aState, Micros aNow, Output& aOut);
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -25,7 +25,7 @@
       neighbours[address] = IncarnationOf(aState, address);
     }
   }
-  if (!aState.mUpstream.empty() && !Votes(aState)) {
+  if (!aState.mUpstream.empty() && !HasVote(aState)) {
     neighbours[aState.mUpstream] = IncarnationOf(aState, aState.mUpstream);
   }
   for (const auto& [address, follower] : aState.mFollowers) {
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -46,7 +46,7 @@
 {
   const std::string& teller = aState.mConfirmedBy;
   const bool answers = teller != aState.mUpstream &&
-                       HoldsControlAddress(aState, teller) &&
+                       IsControlAddress(aState, teller) &&
                        !IsSuspect(aState, teller, aNow) &&
                        aNow - aState.mConfirmedAt < kUpstreamPatience;
   return answers ? teller : PreferredControl(aState, aNow);
@@ -330,7 +330,7 @@
 // others is each host's own.
 void DiscoverUpstream(State& aState, Micros aNow, Output& aOut)
 {
-  if (aState.mInTouch || Votes(aState) || aNow < aState.mDiscoverAt) {
+  if (aState.mInTouch || HasVote(aState) || aNow < aState.mDiscoverAt) {
     return;
   }
   std::vector<std::string> near;
@@ -366,7 +366,7 @@
   if (aState.mAcceptAt != 0) {
     next = std::min(next, aState.mAcceptAt);
   }
-  if (!aState.mInTouch && !Votes(aState)) {
+  if (!aState.mInTouch && !HasVote(aState)) {
     next = std::min(next, aState.mDiscoverAt);
   }
   return next;
@@ -401,7 +401,7 @@
                                         aState.mOffers.end());
   aState.mOffers.clear();
   aState.mAcceptAt = 0;
-  if (!aState.mInTouch && !Votes(aState)) {
+  if (!aState.mInTouch && !HasVote(aState)) {
     Suspect(aState, aState.mUpstream, aNow);
     AcceptOffer(aState, aNow, Heaviest(aState, offers), aOut);
   }
@@ -413,7 +413,7 @@
                        const wire::FollowReply& aMessage,
                        Output& aOut)
 {
-  if (Votes(aState)) {
+  if (HasVote(aState)) {
     return;
   }
   if (aMessage.brief()) {
--- a/src/fleet/whereabouts.cpp
+++ b/src/fleet/whereabouts.cpp
@@ -15,16 +15,18 @@
 
 /// Part of its lease after which a silent host may have restarted with nothing:
 /// relays and control hosts tell of it at least twice within a lease.
-constexpr double kMaybeRestarted = 0.75;
+constexpr double kRestartedLeaseFraction = 0.75;
 /// Silent hosts that one control host tries with each of its reports, in turn;
 /// all control hosts together try those of a data centre within seconds.
-constexpr std::size_t kSilentTried = 4;
+constexpr std::size_t kSilentHostsPerReport = 4;
 /// A host that has been silent for longer comes back by its seeds alone.
-constexpr Micros kSilentTriedFor = 30 * kSecond;
+constexpr Micros kSilentContactTime = 30 * kSecond;
 
 // The host may be there and not know where the group is. That goes for voters
 // as well: one that is back without its disk knows its seeds alone.
-bool IsUnaware(const State& aState, const std::string& aAddress, Micros aNow)
+bool MayLackAddresses(const State& aState,
+                      const std::string& aAddress,
+                      Micros aNow)
 {
   if (aAddress == aState.mSettings.mPeerAddress) {
     return false;
@@ -35,14 +37,14 @@
   }
   const auto lease = static_cast<double>(LeaseOf(aState, found->second, aNow));
   return static_cast<double>(aNow - found->second.mHeardAt) >
-         kMaybeRestarted * lease;
+         kRestartedLeaseFraction * lease;
 }
 
 // Askers prefer a control host of their own data centre: one that is silent is
 // not worth their waiting.
-std::string PlaceIfHeard(const State& aState,
-                         const std::string& aAddress,
-                         Micros aNow)
+std::string DataCentreIfAlive(const State& aState,
+                              const std::string& aAddress,
+                              Micros aNow)
 {
   const auto found = aState.mHosts.find(aAddress);
   const bool heard = found != aState.mHosts.end() && !found->second.mGone &&
@@ -56,8 +58,8 @@
 {
   std::vector<std::string> silent;
   for (const auto& [address, host] : aState.mHosts) {
-    const bool lately = aNow - host.mHeardAt < kSilentTriedFor;
-    if (lately && IsUnaware(aState, address, aNow)) {
+    const bool lately = aNow - host.mHeardAt < kSilentContactTime;
+    if (lately && MayLackAddresses(aState, address, aNow)) {
       silent.push_back(address);
     }
   }
@@ -66,7 +68,7 @@
 
 } // namespace
 
-bool HoldsControlAddress(const State& aState, const std::string& aAddress)
+bool IsControlAddress(const State& aState, const std::string& aAddress)
 {
   const auto& control = aState.mControlAddresses;
   return std::count(control.begin(), control.end(), aAddress) != 0;
@@ -81,7 +83,7 @@
   return addresses;
 }
 
-bool Votes(const State& aState) noexcept
+bool HasVote(const State& aState) noexcept
 {
   return IsControlMember(aState) &&
          aState.mGroup.mRole != consensus::Role::Learner;
@@ -96,7 +98,7 @@
   aReply.set_control_index(aState.mMembershipVersion.mIndex);
   for (const std::string& address : aState.mControlAddresses) {
     aReply.add_control_addresses(address);
-    aReply.add_control_data_centres(PlaceIfHeard(aState, address, aNow));
+    aReply.add_control_data_centres(DataCentreIfAlive(aState, address, aNow));
   }
 }
 
@@ -125,7 +127,7 @@
   reply.set_brief(true);
   reply.set_data_centre(aState.mSettings.mDataCentre);
   // A host that waits for its vote cannot be followed; it names the voters.
-  const bool learns = IsControlMember(aState) && !Votes(aState);
+  const bool learns = IsControlMember(aState) && !HasVote(aState);
   const auto& route = aState.mRoute;
   const bool above = std::count(route.begin(), route.end(), aTo) != 0;
   reply.set_in_touch(!learns && !above && IsInTouch(aState, aNow));
@@ -146,20 +148,21 @@
   }
 }
 
-void Introduce(State& aState, Micros aNow, Output& aOut)
+void AnnounceGroup(State& aState, Micros aNow, Output& aOut)
 {
-  if (!Votes(aState) || !IsInTouch(aState, aNow)) {
+  if (!HasVote(aState) || !IsInTouch(aState, aNow)) {
     return;
   }
   for (const std::string& seed : aState.mSettings.mSeeds) {
-    if (IsUnaware(aState, seed, aNow)) {
+    if (MayLackAddresses(aState, seed, aNow)) {
       ReplyBriefly(aState, aNow, seed, aOut);
     }
   }
   const std::vector<std::string> silent = SilentHosts(aState, aNow);
-  for (std::size_t i = 0; i < std::min(kSilentTried, silent.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(kSilentHostsPerReport, silent.size());
+       ++i) {
     ReplyBriefly(
-      aState, aNow, silent[++aState.mIntroduceTurn % silent.size()], aOut);
+      aState, aNow, silent[++aState.mSilentHostCursor % silent.size()], aOut);
   }
 }
 
@@ -176,7 +179,7 @@
     ReplyBriefly(aState, aNow, address, aOut);
   }
   if (regained) {
-    Introduce(aState, aNow, aOut);
+    AnnounceGroup(aState, aNow, aOut);
   }
 }
 
