--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -296,17 +296,17 @@
   /// Control hosts asked for the word since it was old, and when the next is.
   std::size_t mConfirmationAttempts = 0;
   Micros mQueryAt = 0;
-  std::size_t mUpstreamTurn = 0;
+  std::size_t mControlCursor = 0;
   /// The upstream that would be better, while it is tried.
-  std::string mNextUpstream;
+  std::string mCandidateUpstream;
   Micros mRebalanceAt = 0;
   /// Upstreams that fell silent, and until when they are not tried again.
-  std::map<std::string, Micros> mSuspects;
+  std::map<std::string, Micros> mSuspectedUntil;
   /// Hosts that offered themselves while another one is tried that would be
   /// better, and when one of them is taken; 0 while there are none.
   std::set<std::string> mOffers;
-  Micros mAcceptAt = 0;
-  Micros mAcceptedAt = 0;
+  Micros mAcceptOfferAt = 0;
+  Micros mOfferAcceptedAt = 0;
   /// Out of touch: when the next host is asked who is in touch, those that were
   /// asked in this round, and the pause after it.
   Micros mDiscoverAt = 0;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -127,7 +127,7 @@
     LogOpened(state, aOut);
   }
   state.mGossip.mIncarnation = aSettings.mIncarnation;
-  state.mUpstreamTurn = static_cast<std::size_t>(aRandom % 1021);
+  state.mControlCursor = static_cast<std::size_t>(aRandom % 1021);
   // An answer to a command of an earlier life of this host ends none of this.
   state.mLastSubmitId = aRandom;
   RefreshOwnHost(state, aNow);
@@ -261,8 +261,7 @@
   const bool votes = HasVote(aState);
   const bool hears = votes ? !aState.mGroup.mLeader.empty() : aState.mInTouch;
   const std::optional<Micros> age = ConfirmationAge(aState, aNow);
-  return hears && age &&
-         *age < (votes ? kLeaderPatience : kConfirmationTimeout);
+  return hears && age && *age < (votes ? kLeaderTimeout : kConfirmationTimeout);
 }
 
 // A learner is in touch through an upstream, while its catalog comes from the
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -235,7 +235,7 @@
   if (HasVote(aState)) {
     SendToControlHosts(aState, aNow, aOut);
   } else {
-    KeepUpstream(aState, aNow, aOut);
+    MaintainUpstream(aState, aNow, aOut);
   }
 }
 
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -11,7 +11,7 @@
 constexpr Micros kHostLease = 6 * kHostReportInterval;
 /// \brief Time in which a host whose control host fell silent has found another
 /// one and the others know: its patience, a report, and a report on it.
-constexpr Micros kFailoverTime = kUpstreamPatience + 2 * kHostReportInterval;
+constexpr Micros kFailoverTime = kUpstreamTimeout + 2 * kHostReportInterval;
 
 // --- group.cpp: the control group
 
@@ -78,7 +78,7 @@
 // --- places.cpp: which host would be best to follow
 
 /// \brief Notes that an upstream fell silent; it is not tried for a while.
-void Suspect(State& aState, const std::string& aAddress, Micros aNow);
+void MarkSuspect(State& aState, const std::string& aAddress, Micros aNow);
 [[nodiscard]] bool IsSuspect(const State& aState,
                              const std::string& aAddress,
                              Micros aNow);
@@ -94,7 +94,7 @@
 // --- upstream.cpp: whom a host without a vote follows
 /// \brief Reports to the upstream, looks for another one where that is silent
 /// or where another would be better, and asks for one where there is none.
-void KeepUpstream(State& aState, Micros aNow, Output& aOut);
+void MaintainUpstream(State& aState, Micros aNow, Output& aOut);
 void HandleReportReply(State& aState,
                        Micros aNow,
                        const std::string& aFrom,
@@ -107,7 +107,7 @@
 void DiscoverUpstream(State& aState, Micros aNow, Output& aOut);
 [[nodiscard]] Micros NextUpstreamTime(const State& aState) noexcept;
 void SetUpstream(State& aState, const std::string& aAddress, Micros aNow);
-void NoteInTouch(State& aState, bool aInTouch, Output& aOut);
+void SetInTouch(State& aState, bool aInTouch, Output& aOut);
 /// \brief What this host says of itself in each report.
 [[nodiscard]] wire::Follow OwnReport(const State& aState, Micros aNow);
 
--- a/src/fleet/places.cpp
+++ b/src/fleet/places.cpp
@@ -42,18 +42,19 @@
 
 } // namespace
 
-void Suspect(State& aState, const std::string& aAddress, Micros aNow)
+void MarkSuspect(State& aState, const std::string& aAddress, Micros aNow)
 {
-  for (auto it = aState.mSuspects.begin(); it != aState.mSuspects.end();) {
-    it = aNow < it->second ? std::next(it) : aState.mSuspects.erase(it);
+  for (auto it = aState.mSuspectedUntil.begin();
+       it != aState.mSuspectedUntil.end();) {
+    it = aNow < it->second ? std::next(it) : aState.mSuspectedUntil.erase(it);
   }
-  aState.mSuspects[aAddress] = aNow + kSuspectTime;
+  aState.mSuspectedUntil[aAddress] = aNow + kSuspectTime;
 }
 
 bool IsSuspect(const State& aState, const std::string& aAddress, Micros aNow)
 {
-  const auto found = aState.mSuspects.find(aAddress);
-  return found != aState.mSuspects.end() && aNow < found->second;
+  const auto found = aState.mSuspectedUntil.find(aAddress);
+  return found != aState.mSuspectedUntil.end() && aNow < found->second;
 }
 
 std::uint64_t Weight(const State& aState, const std::string& aAddress)
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -87,7 +87,7 @@
   const std::string& leader = aState.mLeaderAddress;
   const auto& control = aState.mControlAddresses;
   if ((leader.empty() || leader == aPending.mTriedLeader) && !control.empty()) {
-    return control[++aState.mUpstreamTurn % control.size()];
+    return control[++aState.mControlCursor % control.size()];
   }
   aPending.mTriedLeader = leader;
   aPending.mTriedLeaderAt = aNow;
--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -47,12 +47,12 @@
 /// \brief A host whose upstream is silent, or out of touch while others are
 /// not, follows another one after this time: a report and its answer lost in a
 /// row.
-constexpr Micros kUpstreamPatience = 1000 * kMillisecond;
+constexpr Micros kUpstreamTimeout = 1000 * kMillisecond;
 /// \brief A control host whose leader's word is older is out of touch; an
 /// election takes up to twice as long.
-constexpr Micros kLeaderPatience = 1000 * kMillisecond;
+constexpr Micros kLeaderTimeout = 1000 * kMillisecond;
 /// \brief The same at other hosts, to which the word comes later.
-constexpr Micros kConfirmationTimeout = kUpstreamPatience + kHostReportInterval;
+constexpr Micros kConfirmationTimeout = kUpstreamTimeout + kHostReportInterval;
 /// \brief A snapshot that was not taken is sent again after this time: a slow
 /// link carries one in it. The policy does not wait for it.
 constexpr Micros kSnapshotRetry = 800 * kMillisecond;
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -30,25 +30,25 @@
 
 // Where the word that the upstream passes on is old, others may be no better
 // off: it is left once another host has told a newer one.
-bool HasGoodUpstream(const State& aState, Micros aNow)
+bool IsUpstreamHealthy(const State& aState, Micros aNow)
 {
   const Micros since = aState.mUpstreamSince;
   const Micros heardAt = std::max(aState.mUpstreamHeardAt, since);
   const Micros goodAt = std::max(aState.mUpstreamConfirmedAt, since);
-  const bool isBehind = aNow - goodAt > kUpstreamPatience &&
+  const bool isBehind = aNow - goodAt > kUpstreamTimeout &&
                         aState.mConfirmedAt > goodAt + kHostReportInterval;
   return !aState.mUpstream.empty() && !isBehind &&
-         aNow - heardAt <= kUpstreamPatience;
+         aNow - heardAt <= kUpstreamTimeout;
 }
 
 // The control host that told the newest word is certain to be there.
-std::string NextControl(const State& aState, Micros aNow)
+std::string FallbackControl(const State& aState, Micros aNow)
 {
   const std::string& teller = aState.mConfirmedBy;
   const bool answers = teller != aState.mUpstream &&
                        IsControlAddress(aState, teller) &&
                        !IsSuspect(aState, teller, aNow) &&
-                       aNow - aState.mConfirmedAt < kUpstreamPatience;
+                       aNow - aState.mConfirmedAt < kUpstreamTimeout;
   return answers ? teller : PreferredControl(aState, aNow);
 }
 
@@ -57,9 +57,9 @@
 void LeaveSilentUpstream(State& aState, Micros aNow, Output& aOut)
 {
   const std::string last = aState.mUpstream;
-  Suspect(aState, last, aNow);
+  MarkSuspect(aState, last, aNow);
   ++aState.mCounters.mUpstreamsLost;
-  const std::string next = NextControl(aState, aNow);
+  const std::string next = FallbackControl(aState, aNow);
   aOut.mLogLines.push_back(
     { 2,
       "event=upstream_lost upstream=" + last + " next=" + next + " silent_ms=" +
@@ -126,17 +126,18 @@
   if (first) {
     return;
   }
-  if (!aState.mNextUpstream.empty()) {
-    Suspect(aState, aState.mNextUpstream, aNow);
+  if (!aState.mCandidateUpstream.empty()) {
+    MarkSuspect(aState, aState.mCandidateUpstream, aNow);
   }
   const std::string preferred = PreferredUpstream(aState, aNow);
-  aState.mNextUpstream = preferred == aState.mUpstream ? "" : preferred;
-  if (!aState.mNextUpstream.empty()) {
-    SendReport(aState, aState.mNextUpstream, FreshReport(aState, aNow), aOut);
+  aState.mCandidateUpstream = preferred == aState.mUpstream ? "" : preferred;
+  if (!aState.mCandidateUpstream.empty()) {
+    SendReport(
+      aState, aState.mCandidateUpstream, FreshReport(aState, aNow), aOut);
   }
 }
 
-void MoveToNextUpstream(State& aState, Micros aNow, Output& aOut)
+void SwitchToCandidate(State& aState, Micros aNow, Output& aOut)
 {
   wire::Follow leaving = OwnReport(aState, aNow);
   leaving.set_leaves(true);
@@ -144,9 +145,9 @@
   aOut.mLogLines.push_back(
     { 1,
       "event=upstream_changed upstream=" + aState.mUpstream +
-        " next=" + aState.mNextUpstream });
+        " next=" + aState.mCandidateUpstream });
   ++aState.mCounters.mUpstreamsLeft;
-  SetUpstream(aState, aState.mNextUpstream, aNow);
+  SetUpstream(aState, aState.mCandidateUpstream, aNow);
 }
 
 void AcceptOffer(State& aState,
@@ -155,8 +156,8 @@
                  Output& aOut)
 {
   aState.mOffers.clear();
-  aState.mAcceptAt = 0;
-  aState.mAcceptedAt = aNow;
+  aState.mAcceptOfferAt = 0;
+  aState.mOfferAcceptedAt = aNow;
   SetUpstream(aState, aAddress, aNow);
   SendReport(aState, aAddress, FreshReport(aState, aNow), aOut);
 }
@@ -190,8 +191,8 @@
                  Output& aOut)
 {
   const bool old = aMessage.control_term() < aState.mMembershipVersion.mTerm;
-  const bool waits =
-    aState.mAcceptedAt != 0 && aNow - aState.mAcceptedAt < kAnswerWait;
+  const bool waits = aState.mOfferAcceptedAt != 0 &&
+                     aNow - aState.mOfferAcceptedAt < kAnswerWait;
   if (old || waits) {
     return;
   }
@@ -203,7 +204,7 @@
   }
   AcceptOffer(aState, aNow, near, aOut);
   aState.mOffers.insert(aFrom);
-  aState.mAcceptAt = aNow + kOfferWait;
+  aState.mAcceptOfferAt = aNow + kOfferWait;
 }
 
 void HandleBriefReply(State& aState,
@@ -223,11 +224,11 @@
     HandleOffer(aState, aNow, aFrom, aMessage, aOut);
   }
   // The better one cannot be followed yet; whoever could is not kept waiting.
-  if (!offers && aFrom == aState.mUpstream && aState.mAcceptAt != 0) {
-    aState.mAcceptAt = aNow;
+  if (!offers && aFrom == aState.mUpstream && aState.mAcceptOfferAt != 0) {
+    aState.mAcceptOfferAt = aNow;
   }
   const bool news = MergeControlAddresses(aState, aMessage);
-  if (news && !aState.mInTouch && aState.mAcceptedAt == 0) {
+  if (news && !aState.mInTouch && aState.mOfferAcceptedAt == 0) {
     aState.mDiscoverAt = aNow;
     DiscoverUpstream(aState, aNow, aOut);
   }
@@ -240,8 +241,8 @@
                     const std::string& aTo,
                     Output& aOut)
 {
-  if (aFrom == aState.mNextUpstream) {
-    aState.mNextUpstream.clear();
+  if (aFrom == aState.mCandidateUpstream) {
+    aState.mCandidateUpstream.clear();
   } else if (aFrom == aState.mUpstream &&
              aTo != aState.mSettings.mPeerAddress) {
     AcceptOffer(aState, aNow, aTo, aOut);
@@ -250,7 +251,7 @@
 
 // Two hosts that moved at the same moment may follow each other: what they
 // tell each other of the group then comes from nobody.
-bool IsCircle(const State& aState, const wire::FollowReply& aMessage)
+bool IsCycle(const State& aState, const wire::FollowReply& aMessage)
 {
   const auto& route = aMessage.route();
   return std::count(
@@ -262,7 +263,7 @@
                         const wire::FollowReply& aMessage,
                         Output& aOut)
 {
-  NoteInTouch(aState, aMessage.in_touch(), aOut);
+  SetInTouch(aState, aMessage.in_touch(), aOut);
   aState.mUpstreamHeardAt = aNow;
   if (aMessage.in_touch()) {
     aState.mUpstreamConfirmedAt =
@@ -292,10 +293,10 @@
   }
   aState.mUpstream = aAddress;
   aState.mUpstreamSince = aNow;
-  aState.mNextUpstream.clear();
+  aState.mCandidateUpstream.clear();
 }
 
-void NoteInTouch(State& aState, bool aInTouch, Output& aOut)
+void SetInTouch(State& aState, bool aInTouch, Output& aOut)
 {
   if (aInTouch != aState.mInTouch) {
     aOut.mLogLines.push_back({ aInTouch ? 1 : 2,
@@ -309,7 +310,7 @@
   if (aInTouch) {
     aState.mDiscoveryAsked.clear();
   }
-  aState.mAcceptedAt = aInTouch ? 0 : aState.mAcceptedAt;
+  aState.mOfferAcceptedAt = aInTouch ? 0 : aState.mOfferAcceptedAt;
   aState.mRebalanceAt = aInTouch ? aState.mRebalanceAt : 0;
 }
 
@@ -363,8 +364,8 @@
 Micros NextUpstreamTime(const State& aState) noexcept
 {
   Micros next = std::numeric_limits<Micros>::max();
-  if (aState.mAcceptAt != 0) {
-    next = std::min(next, aState.mAcceptAt);
+  if (aState.mAcceptOfferAt != 0) {
+    next = std::min(next, aState.mAcceptOfferAt);
   }
   if (!aState.mInTouch && !HasVote(aState)) {
     next = std::min(next, aState.mDiscoverAt);
@@ -375,17 +376,17 @@
 // Out of touch, all control hosts are asked whether they are in touch: half of
 // them may be cut off from the others, and all that are known may have been
 // replaced, which seeds tell. None sends its catalog before it is followed.
-void KeepUpstream(State& aState, Micros aNow, Output& aOut)
+void MaintainUpstream(State& aState, Micros aNow, Output& aOut)
 {
   const Micros heardAt = std::max(aState.mUpstreamHeardAt, aState.mConfirmedAt);
   if (aState.mInTouch && aNow - heardAt >= kConfirmationTimeout) {
-    NoteInTouch(aState, false, aOut);
+    SetInTouch(aState, false, aOut);
   }
   if (!aState.mInTouch) {
     DiscoverUpstream(aState, aNow, aOut);
     return;
   }
-  if (!HasGoodUpstream(aState, aNow)) {
+  if (!IsUpstreamHealthy(aState, aNow)) {
     LeaveSilentUpstream(aState, aNow, aOut);
   }
   ReportToUpstream(aState, aNow, aOut);
@@ -394,15 +395,15 @@
 
 void AcceptWaitingOffer(State& aState, Micros aNow, Output& aOut)
 {
-  if (aState.mAcceptAt == 0 || aNow < aState.mAcceptAt) {
+  if (aState.mAcceptOfferAt == 0 || aNow < aState.mAcceptOfferAt) {
     return;
   }
   const std::vector<std::string> offers(aState.mOffers.begin(),
                                         aState.mOffers.end());
   aState.mOffers.clear();
-  aState.mAcceptAt = 0;
+  aState.mAcceptOfferAt = 0;
   if (!aState.mInTouch && !HasVote(aState)) {
-    Suspect(aState, aState.mUpstream, aNow);
+    MarkSuspect(aState, aState.mUpstream, aNow);
     AcceptOffer(aState, aNow, Heaviest(aState, offers), aOut);
   }
 }
@@ -437,13 +438,13 @@
   const bool current =
     aMessage.in_touch() &&
     aMessage.control_term() >= aState.mMembershipVersion.mTerm &&
-    aNow - ConfirmedAtOf(aMessage, aNow) <= kUpstreamPatience;
-  if (current && aFrom == aState.mNextUpstream) {
-    MoveToNextUpstream(aState, aNow, aOut);
+    aNow - ConfirmedAtOf(aMessage, aNow) <= kUpstreamTimeout;
+  if (current && aFrom == aState.mCandidateUpstream) {
+    SwitchToCandidate(aState, aNow, aOut);
   } else if (current && !aState.mInTouch) {
     SetUpstream(aState, aFrom, aNow);
   }
-  if (aFrom == aState.mUpstream && IsCircle(aState, aMessage)) {
+  if (aFrom == aState.mUpstream && IsCycle(aState, aMessage)) {
     LeaveSilentUpstream(aState, aNow, aOut);
     ReportToUpstream(aState, aNow, aOut);
   } else if (aFrom == aState.mUpstream) {
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitHeard);
     // Whoever is out of touch has been asking for longer.
     CPPUNIT_ASSERT(DisturbedTime(kMostLevels, kMostLostControlHosts) <=
-                   kLeaderPatience);
+                   kLeaderTimeout);
   }
 
   void WordIsNotOldAtAnyLevelOfACalmFleet()
@@ -79,7 +79,7 @@
       return isMinority(aSent.mFrom) != isMinority(aSent.mTo);
     };
     const Micros cutAt = mWorld.mNow;
-    mWorld.Advance(kLeaderPatience);
+    mWorld.Advance(kLeaderTimeout);
     const Micros wordAt = ConfirmedAt(mWorld.Node(with).mState, mWorld.mNow);
     CPPUNIT_ASSERT(wordAt <= cutAt + kCommitHeard);
     mWorld.Advance(kCommitHeard);
