--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -331,7 +331,7 @@
   Micros mReportAt = 0;
   Micros mJoinAt = 0;
   /// At a leader that stops: when it tries again to hand over its lead.
-  Micros mHandOverAt = 0;
+  Micros mTransferRetryAt = 0;
   /// When a refused request to join was last logged.
   Micros mJoinRefusedAt = 0;
   GroupDegradation mGroupDegradation;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -229,7 +229,7 @@
   RefreshOwnHost(aState, aNow);
   SendReports(aState, aNow, aOut);
   PublishHostChanges(aState, aNow, aOut);
-  HandOverLead(aState, aNow, aOut);
+  TransferLeadership(aState, aNow, aOut);
 }
 
 std::vector<const Host*> ReadyHosts(const State& aState, Micros aNow)
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -186,7 +186,7 @@
   consensus::Output raft;
   consensus::Tick(aState.mGroup, aNow, aRandom, raft);
   Perform(aState, aNow, std::move(raft), aOut);
-  KeepMembers(aState, aNow, aOut);
+  MaintainMembers(aState, aNow, aOut);
 }
 
 void HandleConsensus(State& aState,
--- a/src/fleet/internal.h
+++ b/src/fleet/internal.h
@@ -30,14 +30,14 @@
 
 /// \brief At the leader: takes in who has caught up and out who has left; at
 /// others: asks to be taken in.
-void KeepMembers(State& aState, Micros aNow, Output& aOut);
+void MaintainMembers(State& aState, Micros aNow, Output& aOut);
 void HandleJoin(State& aState,
                 Micros aNow,
                 const std::string& aFrom,
                 const wire::Member& aJoiner,
                 Output& aOut);
 /// \brief At a leader that stops: hands the lead to a voter that stays.
-void HandOverLead(State& aState, Micros aNow, Output& aOut);
+void TransferLeadership(State& aState, Micros aNow, Output& aOut);
 
 // --- group_health.cpp: what of the control group is there
 
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -21,19 +21,19 @@
 /// A voter must have been silent for this long to be taken out. Shorter than
 /// any bound on how long a lost host may stay unreplaced, longer than an
 /// election, so that a slow host is not taken for a lost one.
-constexpr Micros kSilentAfter = 2500 * kMillisecond;
+constexpr Micros kVoterTimeout = 2500 * kMillisecond;
 /// Time for a member's first answer to a new leader: some heartbeats.
-constexpr Micros kFirstAnswer = 700 * kMillisecond;
+constexpr Micros kFirstAnswerTime = 700 * kMillisecond;
 /// A member that has been silent for longer is taken out though the group can
 /// do with it, so that members that are gone do not add up: longer than a host
 /// takes to restart, and than most cuts.
-constexpr Micros kForgetAfter = 8 * kSecond;
+constexpr Micros kMemberExpiry = 8 * kSecond;
 /// A leader that stops and still leads tries again after this time: an election
 /// takes less.
-constexpr Micros kHandOverPause = 1 * kSecond;
+constexpr Micros kTransferPause = 1 * kSecond;
 /// Members count as there for a change of members when they have answered
 /// within this time: a heartbeat and its trip.
-constexpr Micros kPromoteWithin = 200 * kMillisecond;
+constexpr Micros kAnswerWindow = 200 * kMillisecond;
 /// A member that hears no leader for this long asks to join: the others may
 /// have removed it while it was cut off.
 constexpr Micros kRejoinAfter = 2 * kSecond;
@@ -45,7 +45,7 @@
 
 // With 2n+1 voters n disks can be lost, and a majority is left that holds all
 // that was committed; with fewer the group would be stuck for good.
-int LeastVoters(const State& aState)
+int MinVoters(const State& aState)
 {
   return 2 * aState.mSettings.mToleratedLosses + 1;
 }
@@ -86,7 +86,7 @@
   const Micros silent = aNow - progress->second.mHeardAt;
   const auto host = aState.mHosts.find(aMember.address());
   const bool answered = progress->second.mMatch > 0;
-  if (answered || silent < kFirstAnswer || host == aState.mHosts.end()) {
+  if (answered || silent < kFirstAnswerTime || host == aState.mHosts.end()) {
     return silent;
   }
   return std::max(silent, aNow - host->second.mHeardAt);
@@ -104,20 +104,20 @@
 
 bool HasLeft(const MemberView& aView)
 {
-  return aView.mStopping || aView.mReplaced || aView.mSilent > kSilentAfter;
+  return aView.mStopping || aView.mReplaced || aView.mSilent > kVoterTimeout;
 }
 
 // Its disk is gone, or it was silent for so long that it will hardly come back.
 bool CanBeDropped(const MemberView& aView)
 {
-  return aView.mReplaced || aView.mSilent > kForgetAfter;
+  return aView.mReplaced || aView.mSilent > kMemberExpiry;
 }
 
-void Change(State& aState,
-            Micros aNow,
-            const wire::Membership& aNext,
-            const std::string& aWhy,
-            Output& aOut)
+void ChangeMembers(State& aState,
+                   Micros aNow,
+                   const wire::Membership& aNext,
+                   const std::string& aWhy,
+                   Output& aOut)
 {
   consensus::Output raft;
   const Result<std::uint64_t> index =
@@ -158,7 +158,7 @@
   const auto progress = group.mProgress.find(aMember.id());
   return progress != group.mProgress.end() &&
          progress->second.mHeardAt > aSince &&
-         aNow - progress->second.mHeardAt <= kPromoteWithin;
+         aNow - progress->second.mHeardAt <= kAnswerWindow;
 }
 
 // A vote more makes an even group odd, which tolerates one loss more, or an odd
@@ -166,7 +166,7 @@
 // newcomer to an odd group waits until all voters have answered since it came,
 // or one of them has left. A newcomer at a voter's address is that voter's next
 // disk.
-bool IsAVoteOfUse(const State& aState,
+bool IsVoteUseful(const State& aState,
                   Micros aNow,
                   const wire::Member& aLearner,
                   Micros aLearnerSince)
@@ -190,10 +190,10 @@
 
 // Whether the voters that answer, but for one, are a majority of a group of
 // another size.
-bool AreEnoughOf(const State& aState,
-                 Micros aNow,
-                 std::size_t aVoters,
-                 const wire::Member* aExcept = nullptr)
+bool IsMajorityOf(const State& aState,
+                  Micros aNow,
+                  std::size_t aVoters,
+                  const wire::Member* aExcept = nullptr)
 {
   std::size_t answering = 0;
   for (const wire::Member& member : aState.mGroup.mMembership.members()) {
@@ -211,14 +211,14 @@
     return false;
   }
   const MemberView view = ViewOf(aState, aLearner, aNow);
-  return view.mSilent <= kPromoteWithin && !view.mStopping && !view.mReplaced &&
+  return view.mSilent <= kAnswerWindow && !view.mStopping && !view.mReplaced &&
          progress->second.mMatch + kCaughtUp >= group.mCommit &&
-         IsAVoteOfUse(aState, aNow, aLearner, progress->second.mKnownSince);
+         IsVoteUseful(aState, aNow, aLearner, progress->second.mKnownSince);
 }
 
 // A disk that was replaced does not come back; of silent hosts the one that has
 // been away for longest is the least likely to.
-bool IsMoreSurelyGone(const MemberView& aView, const MemberView& aThan)
+bool IsLikelierGone(const MemberView& aView, const MemberView& aThan)
 {
   return std::make_pair(aView.mReplaced, aView.mSilent) >
          std::make_pair(aThan.mReplaced, aThan.mSilent);
@@ -237,7 +237,7 @@
     if (!member.voter() || member.id() == group.mId || !HasLeft(view)) {
       continue;
     }
-    if (gone == nullptr || IsMoreSurelyGone(view, aSeen)) {
+    if (gone == nullptr || IsLikelierGone(view, aSeen)) {
       gone = &member;
       aSeen = view;
     }
@@ -266,17 +266,17 @@
     }));
 }
 
-void TakeVoteFrom(State& aState,
-                  Micros aNow,
-                  const wire::Member& aMember,
-                  const char* aWhy,
-                  Output& aOut)
+void DemoteVoter(State& aState,
+                 Micros aNow,
+                 const wire::Member& aMember,
+                 const char* aWhy,
+                 Output& aOut)
 {
-  Change(aState,
-         aNow,
-         WithVote(aState.mGroup.mMembership, aMember.id(), false),
-         std::string(aWhy) + " member=" + aMember.id(),
-         aOut);
+  ChangeMembers(aState,
+                aNow,
+                WithVote(aState.mGroup.mMembership, aMember.id(), false),
+                std::string(aWhy) + " member=" + aMember.id(),
+                aOut);
 }
 
 // The newcomer may be gone by the time that its vote counts: no change may need
@@ -294,10 +294,10 @@
     MemberView seen;
     gone = GoneVoter(aState, aNow, seen);
   }
-  if (gone == nullptr || !AreEnoughOf(aState, aNow, voters - 1, gone)) {
+  if (gone == nullptr || !IsMajorityOf(aState, aNow, voters - 1, gone)) {
     return false;
   }
-  TakeVoteFrom(aState, aNow, *gone, "makes_room", aOut);
+  DemoteVoter(aState, aNow, *gone, "makes_room", aOut);
   return true;
 }
 
@@ -310,14 +310,14 @@
     if (member.voter() || !IsCaughtUp(aState, member, aNow)) {
       continue;
     }
-    if (!AreEnoughOf(aState, aNow, voters + 1)) {
+    if (!IsMajorityOf(aState, aNow, voters + 1)) {
       return MakeRoom(aState, aNow, member, aOut);
     }
-    Change(aState,
-           aNow,
-           WithVote(members, member.id(), true),
-           "caught_up member=" + member.id(),
-           aOut);
+    ChangeMembers(aState,
+                  aNow,
+                  WithVote(members, member.id(), true),
+                  "caught_up member=" + member.id(),
+                  aOut);
     return true;
   }
   return false;
@@ -329,7 +329,7 @@
 bool IsShrinkingWorthIt(const State& aState, int aVoters, int aLeft)
 {
   const int there = aVoters - aLeft;
-  const int least = std::max(LeastVoters(aState), there);
+  const int least = std::max(MinVoters(aState), there);
   const int now = there - (aVoters / 2 + 1);
   const int then = there - (least / 2 + 1);
   return now < aState.mSettings.mToleratedLosses && then > now;
@@ -345,18 +345,18 @@
 
 // A voter that has left becomes a learner. A disk that is gone comes first, and
 // needs no other reason.
-bool DemoteGone(State& aState, Micros aNow, Output& aOut)
+bool DemoteGoneVoter(State& aState, Micros aNow, Output& aOut)
 {
   const consensus::State& group = aState.mGroup;
   const int voters = static_cast<int>(consensus::VoterCount(group.mMembership));
   MemberView seen;
   const wire::Member* gone = GoneVoter(aState, aNow, seen);
-  if (gone == nullptr || voters - 1 < LeastVoters(aState) ||
+  if (gone == nullptr || voters - 1 < MinVoters(aState) ||
       !(CanBeDropped(seen) ||
         IsShrinkingWorthIt(aState, voters, GoneVoters(aState, aNow)))) {
     return false;
   }
-  TakeVoteFrom(aState, aNow, *gone, WhyGone(seen), aOut);
+  DemoteVoter(aState, aNow, *gone, WhyGone(seen), aOut);
   return true;
 }
 
@@ -367,11 +367,11 @@
   for (const wire::Member& member : members.members()) {
     const MemberView view = ViewOf(aState, member, aNow);
     if (!member.voter() && CanBeDropped(view)) {
-      Change(aState,
-             aNow,
-             consensus::Without(members, member.id()),
-             "forgotten member=" + member.id(),
-             aOut);
+      ChangeMembers(aState,
+                    aNow,
+                    consensus::Without(members, member.id()),
+                    "forgotten member=" + member.id(),
+                    aOut);
       return true;
     }
   }
@@ -415,7 +415,7 @@
 }
 
 // What is wrong with a request to join; empty when nothing is.
-std::string FaultOf(const wire::Member& aJoiner)
+std::string JoinFault(const wire::Member& aJoiner)
 {
   if (aJoiner.storage().empty() || aJoiner.address().empty()) {
     return "no disk or address named";
@@ -445,7 +445,7 @@
 
 } // namespace
 
-void KeepMembers(State& aState, Micros aNow, Output& aOut)
+void MaintainMembers(State& aState, Micros aNow, Output& aOut)
 {
   const consensus::State& group = aState.mGroup;
   if (!consensus::IsLeader(group)) {
@@ -455,11 +455,12 @@
     }
     return;
   }
-  if (aState.mStopping && aNow >= aState.mHandOverAt) {
-    HandOverLead(aState, aNow, aOut);
+  if (aState.mStopping && aNow >= aState.mTransferRetryAt) {
+    TransferLeadership(aState, aNow, aOut);
   }
   // Newcomers first: the group is never smaller than it must be.
-  (void)(PromoteLearner(aState, aNow, aOut) || DemoteGone(aState, aNow, aOut) ||
+  (void)(PromoteLearner(aState, aNow, aOut) ||
+         DemoteGoneVoter(aState, aNow, aOut) ||
          RemoveGoneLearner(aState, aNow, aOut));
 }
 
@@ -479,7 +480,7 @@
       return;
     }
   }
-  const std::string fault = FaultOf(aJoiner);
+  const std::string fault = JoinFault(aJoiner);
   if (!fault.empty()) {
     RefuseJoin(aState, aNow, aJoiner, fault, aOut);
     return;
@@ -488,15 +489,15 @@
   wire::Member& added = *next.add_members();
   added = aJoiner;
   added.set_voter(false);
-  Change(aState, aNow, next, "joined member=" + aJoiner.id(), aOut);
+  ChangeMembers(aState, aNow, next, "joined member=" + aJoiner.id(), aOut);
 }
 
-void HandOverLead(State& aState, Micros aNow, Output& aOut)
+void TransferLeadership(State& aState, Micros aNow, Output& aOut)
 {
   if (!consensus::IsLeader(aState.mGroup)) {
     return;
   }
-  aState.mHandOverAt = aNow + kHandOverPause;
+  aState.mTransferRetryAt = aNow + kTransferPause;
   std::set<std::string> leaving;
   for (const wire::Member& member : aState.mGroup.mMembership.members()) {
     if (ViewOf(aState, member, aNow).mStopping) {
