--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -13,13 +13,13 @@
 constexpr Micros kInForceWithin = 2 * kSecond;
 /// \brief Levels of hosts below a control host in the largest data centre that
 /// is planned for.
-constexpr int kMostLevels = 3;
+constexpr int kMaxLevels = 3;
 
 // --- undisturbed
 
 /// \brief Longest time in which control hosts have heard what their leader
 /// committed: the pace of its heartbeats.
-constexpr Micros kCommitHeard = 150 * kMillisecond;
+constexpr Micros kCommitLatency = 150 * kMillisecond;
 /// \brief Pause between messages that tell followers of commits.
 constexpr Micros kPushPause = 100 * kMillisecond;
 /// \brief Pace at which hosts report to the host that they follow, and at which
@@ -74,13 +74,13 @@
 /// \brief Longest time to a host of a level, with nothing wrong.
 constexpr Micros UndisturbedTime(int aLevel) noexcept
 {
-  return kCommitHeard + aLevel * kPushPause;
+  return kCommitLatency + aLevel * kPushPause;
 }
 
 /// \brief Oldest word that a host of a level has, with nothing wrong.
 constexpr Micros UsualConfirmationAge() noexcept
 {
-  return kCommitHeard + kHostReportInterval;
+  return kCommitLatency + kHostReportInterval;
 }
 
 /// \brief Longest time to a host of a level whose way up the tree fell silent,
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -37,13 +37,13 @@
   void WaitsOnTheWayAddUpToHalfOfThePromise()
   {
     CPPUNIT_ASSERT(UsualConfirmationAge() < kQueryAfter);
-    for (int level = 1; level <= kMostLevels; ++level) {
+    for (int level = 1; level <= kMaxLevels; ++level) {
       CPPUNIT_ASSERT(UndisturbedTime(level) <= kAim);
       CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
     }
-    CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitHeard);
+    CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitLatency);
     // Whoever is out of touch has been asking for longer.
-    CPPUNIT_ASSERT(DisturbedTime(kMostLevels, kMostLostControlHosts) <=
+    CPPUNIT_ASSERT(DisturbedTime(kMaxLevels, kMostLostControlHosts) <=
                    kLeaderTimeout);
   }
 
@@ -81,8 +81,8 @@
     const Micros cutAt = mWorld.mNow;
     mWorld.Advance(kLeaderTimeout);
     const Micros wordAt = ConfirmedAt(mWorld.Node(with).mState, mWorld.mNow);
-    CPPUNIT_ASSERT(wordAt <= cutAt + kCommitHeard);
-    mWorld.Advance(kCommitHeard);
+    CPPUNIT_ASSERT(wordAt <= cutAt + kCommitLatency);
+    mWorld.Advance(kCommitLatency);
     CPPUNIT_ASSERT(!IsInTouch(mWorld.Node(with).mState, mWorld.mNow));
   }
 
