--- a/include/geraniumpond/fleet_inbox.h
+++ b/include/geraniumpond/fleet_inbox.h
@@ -23,10 +23,10 @@
 {
 public:
   /// \brief Most bytes of messages that wait: a few snapshots.
-  static constexpr std::size_t kMostBytes = 16 * 1024 * 1024;
+  static constexpr std::size_t kMaxBytes = 16 * 1024 * 1024;
 
-  explicit Inbox(std::size_t aMostBytes = kMostBytes)
-    : mMostBytes(aMostBytes)
+  explicit Inbox(std::size_t aMaxBytes = kMaxBytes)
+    : mMaxBytes(aMaxBytes)
   {
   }
 
@@ -45,7 +45,7 @@
   [[nodiscard]] std::size_t Waiting() const noexcept
   {
     return mConsensus.size() + mUrgent.size() + mOthers.size() +
-           mQuestions.size();
+           mBriefReports.size();
   }
   /// \brief Messages that found no room since the start.
   [[nodiscard]] std::uint64_t Dropped() const noexcept { return mDropped; }
@@ -63,14 +63,14 @@
   [[nodiscard]] std::deque<Queued>& QueueOf(const wire::FleetMessage& aMessage);
   [[nodiscard]] bool Replace(Queued& aNext);
 
-  std::size_t mMostBytes;
+  std::size_t mMaxBytes;
   std::size_t mBytes = 0;
   std::uint64_t mDropped = 0;
   std::uint64_t mReplaced = 0;
   std::deque<Queued> mConsensus;
   std::deque<Queued> mUrgent;
   std::deque<Queued> mOthers;
-  std::deque<Queued> mQuestions;
+  std::deque<Queued> mBriefReports;
 };
 
 } // namespace geraniumpond::fleet
--- a/src/fleet/inbox.cpp
+++ b/src/fleet/inbox.cpp
@@ -39,7 +39,7 @@
   if (aMessage.submit().urgent() || aMessage.has_submit_reply()) {
     return mUrgent;
   }
-  return aMessage.follow().brief() ? mQuestions : mOthers;
+  return aMessage.follow().brief() ? mBriefReports : mOthers;
 }
 
 bool Inbox::Replace(Queued& aNext)
@@ -75,7 +75,7 @@
     return true;
   }
   // Every protocol between hosts repeats what was lost.
-  if (mBytes + next.mBytes > mMostBytes) {
+  if (mBytes + next.mBytes > mMaxBytes) {
     ++mDropped;
     return true;
   }
@@ -109,7 +109,7 @@
   };
   (void)takeFrom(mConsensus, mConsensus.size());
   (void)takeFrom(mUrgent, aOthers);
-  (void)takeFrom(mQuestions, takeFrom(mOthers, aOthers));
+  (void)takeFrom(mBriefReports, takeFrom(mOthers, aOthers));
   return taken;
 }
 
