--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -14,7 +14,7 @@
 /// costs every client a request: a voter that starts asks for votes after 9 to
 /// 19 ms, and again after 37 to 75 ms, in which an election with four syncs of
 /// a disk of 5 ms ends.
-constexpr Micros kFirstAskDivisor = 64;
+constexpr Micros kFirstVoteDivisor = 64;
 constexpr Micros kFirstElectionDivisor = 16;
 /// Commands that come within this time go to the members together; one alone
 /// goes at once. A small part of the time that an operator waits for an answer,
@@ -119,7 +119,7 @@
       aRandom);
     state.mGroup.mRules.mFirstDivisor = kFirstElectionDivisor;
     state.mGroup.mElectionAt =
-      aNow + (state.mGroup.mElectionAt - aNow) / kFirstAskDivisor;
+      aNow + (state.mGroup.mElectionAt - aNow) / kFirstVoteDivisor;
     state.mGroup.mRules.mBatchPause = kBatchPause;
     state.mGroup.mRules.mSnapshotEvery = kSnapshotEntries;
     state.mGroup.mRules.mRetained = kRetainedEntries;
--- a/src/fleet/taking.cpp
+++ b/src/fleet/taking.cpp
@@ -17,10 +17,10 @@
   return catalog::Load(bytes.value());
 }
 
-void TakeSnapshot(State& aState,
-                  const std::string& aFrom,
-                  const wire::FollowReply& aMessage,
-                  Output& aOut)
+void InstallReplySnapshot(State& aState,
+                          const std::string& aFrom,
+                          const wire::FollowReply& aMessage,
+                          Output& aOut)
 {
   Result<catalog::State> loaded = ReadSnapshot(aMessage);
   if (!loaded) {
@@ -58,7 +58,7 @@
   const bool snapshot =
     !aMessage.snapshot().empty() || !aMessage.packed_snapshot().empty();
   if (snapshot && aMessage.snapshot_index() > aState.mApplied) {
-    TakeSnapshot(aState, aFrom, aMessage, aOut);
+    InstallReplySnapshot(aState, aFrom, aMessage, aOut);
   }
   if (aMessage.has_policy() &&
       catalog::TakePolicy(aState.mCatalog, aMessage.policy())) {
