--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -69,7 +69,7 @@
   std::uint64_t mSent = 0;
   std::uint64_t mPolicySent = 0;
   /// When it was last told anything, and which word of the group.
-  Micros mToldAt = 0;
+  Micros mRepliedAt = 0;
   Micros mConfirmedSent = 0;
   std::uint64_t mHostsSequence = 0;
   Micros mSnapshotAt = 0;
@@ -225,7 +225,7 @@
 struct GroupDegradation
 {
   Micros mDegradedSince = 0;
-  Micros mToldAt = 0;
+  Micros mLoggedAt = 0;
 };
 
 /// \brief Everything that one host knows of its fleet.
--- a/src/fleet/following.cpp
+++ b/src/fleet/following.cpp
@@ -23,7 +23,7 @@
 {
   return !HasVote(aState) && !NeedsPush(aState, aFollower) &&
          !aFollower.mHostsDiffer && aFollower.mHostsSequence != 0 &&
-         aNow - aFollower.mToldAt < kHostReportInterval;
+         aNow - aFollower.mRepliedAt < kHostReportInterval;
 }
 
 void DropSilentFollowers(State& aState, Micros aNow)
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -95,7 +95,7 @@
                        ? health.mTolerated < aState.mSettings.mToleratedLosses
                        : HasVote(aState));
   if (!weak) {
-    if (watch.mToldAt != 0) {
+    if (watch.mLoggedAt != 0) {
       aOut.mLogLines.push_back(
         { 1,
           "event=group_strong after_ms=" +
@@ -108,11 +108,11 @@
   watch.mDegradedSince =
     watch.mDegradedSince == 0 ? aNow : watch.mDegradedSince;
   const bool due =
-    watch.mToldAt == 0 || aNow - watch.mToldAt >= kDegradedLogInterval;
+    watch.mLoggedAt == 0 || aNow - watch.mLoggedAt >= kDegradedLogInterval;
   if (aNow - watch.mDegradedSince < kDegradedLogDelay || !due) {
     return;
   }
-  watch.mToldAt = aNow;
+  watch.mLoggedAt = aNow;
   aOut.mLogLines.push_back(
     { 2,
       std::string("event=") +
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -154,7 +154,7 @@
 {
   wire::FleetMessage message;
   wire::FollowReply& reply = *message.mutable_follow_reply();
-  aFollower.mToldAt = aNow;
+  aFollower.mRepliedAt = aNow;
   aFollower.mConfirmedSent = ConfirmedAt(aState, aNow);
   FillCommands(aState, aNow, aFollower, reply);
   WriteConfirmation(aState, aNow, reply);
