--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -14,30 +14,31 @@
 #include <utility>
 #include <vector>
 
-/// \brief How the hosts of a fleet agree: a control group of the hosts with a
-/// disk, which founds itself and replaces its members, and followers that hold
-/// the catalog in memory. Followers that are many in a data centre follow each
-/// other in a tree, whose root alone follows the control group.
+/// \brief How the hosts of a fleet agree. Hosts with a disk form a control
+/// group, which bootstraps itself and replaces its members. All other hosts are
+/// followers, which hold the catalog in memory. In a data centre with many
+/// followers these form a tree, of which only the root follows the control
+/// group directly.
 ///
 /// A plain struct and free functions: no clock, thread, socket or file.
 namespace geraniumpond::fleet {
 
-/// \brief What a host is told at its start.
+/// \brief Configuration of a host.
 struct Settings
 {
   std::string mPeerAddress;
   std::string mCallerAddress;
   std::string mDataCentre;
   std::uint64_t mIncarnation = 0;
-  /// True for hosts with a disk, which vote.
+  /// True for hosts with a disk, which may vote.
   bool mControl = false;
-  /// Peer addresses of a few control hosts; all that is known of the others.
+  /// Peer addresses of some control hosts; no other hosts are configured.
   std::vector<std::string> mSeeds;
-  /// Disks that may be lost at once without losing what was acknowledged.
+  /// Disks that may be lost at once without losing acknowledged changes.
   int mToleratedLosses = 0;
 };
 
-/// \brief A host as the fleet knows it.
+/// \brief A host of the fleet, as another host knows it.
 struct Host
 {
   std::string mPeerAddress;
@@ -47,77 +48,81 @@
   bool mReady = false;
   bool mStopping = false;
   Micros mHeardAt = 0;
-  /// At a control host: who told of it last; itself when it reports here.
+  /// At a control host: the host that reported it last; itself if it reports to
+  /// this one.
   std::string mReportedBy;
-  /// Number of the change that made it as it is, at this host.
+  /// Sequence number, at this host, of the last change to this entry.
   std::uint64_t mSequence = 0;
   bool mGone = false;
   /// It has a disk and may vote.
   bool mControl = false;
-  /// At a control host: the others have not heard who tells of it now.
+  /// At a control host: other control hosts have not been told yet that
+  /// mReportedBy changed.
   bool mReporterUnshared = false;
 };
 
-/// \brief What a host knows of others, in short: a digest by data centre.
+/// \brief Digests of the known hosts by data centre.
 using HostDigests = std::map<std::string, std::uint64_t>;
 
-/// \brief A host that takes its catalog from this one.
+/// \brief A host that receives its catalog from this one.
 struct Follower
 {
   Host mHost;
-  /// Last index and version of the policy sent to it.
+  /// Last command index and policy version sent to it.
   std::uint64_t mSent = 0;
   std::uint64_t mPolicySent = 0;
-  /// When it was last told anything, and which word of the group.
+  /// When it was last sent a reply, and the time of the confirmation in that
+  /// reply.
   Micros mRepliedAt = 0;
   Micros mConfirmedSent = 0;
   std::uint64_t mHostsSequence = 0;
   Micros mSnapshotAt = 0;
   std::uint64_t mSnapshotIndex = 0;
-  /// It reads deflated snapshots and lists by data centre.
+  /// It reads compressed snapshots and host lists by data centre.
   bool mCompact = false;
-  /// What it knew of hosts when it asked for all of them.
+  /// Digests of the hosts that it knew when it asked for the full list.
   HostDigests mKnownHosts;
-  /// It knows other hosts than this one though it has heard of all changes.
+  /// It has received all changes of hosts, yet its digest differs from this
+  /// host's.
   bool mHostsDiffer = false;
 };
 
-/// \brief At a relay: a host that reports here or to a host that does.
+/// \brief At a relay: a host that reports to it directly or through a follower.
 struct DownstreamHost
 {
   Host mHost;
-  /// The follower of this relay that told of it; itself when it reports here.
+  /// The follower that reported it; itself if it reports to this relay.
   std::string mVia;
 };
 
-/// \brief How a submitted command ended.
+/// \brief Result of a submitted command.
 enum class SubmitResult
 {
   Committed,
-  /// Not known to have been committed in time; it may be later.
+  /// No commit was confirmed in time; the command may still be committed later.
   Unknown
 };
 
-/// \brief How a read of the policy went, for whoever asks why it was late.
+/// \brief Timing of a policy read, for diagnosing late ones.
 struct ReadTrace
 {
-  /// The leader that answered; empty for none.
+  /// The leader that answered; empty if none did.
   std::string mLeader;
-  /// Messages sent for it, and its time here and at the leader.
+  /// Messages sent, total time, and the time spent waiting at the leader.
   int mTries = 0;
   Micros mElapsed = 0;
   Micros mLeaderWait = 0;
   Micros mGiveUpAt = 0;
 };
 
-/// \brief A submitted command's end, for whoever submitted it.
+/// \brief Completion of a submitted command or read.
 struct Completion
 {
   std::uint64_t mId = 0;
   SubmitResult mEnd = SubmitResult::Unknown;
   wire::CatalogOutcome mOutcome;
   std::string mReason;
-  /// With a read: the policy, where this host's is older.
+  /// For a read: the policy, if this host's is older.
   std::optional<wire::PutPolicy> mPolicy;
   ReadTrace mRead;
 };
@@ -129,21 +134,21 @@
   std::string mText;
 };
 
-/// \brief What a call asks its embedder to do.
+/// \brief What the embedder must do after a call.
 struct Output
 {
   std::vector<std::pair<std::string, wire::FleetMessage>> mMessages;
   std::vector<consensus::Write> mWrites;
   std::vector<Completion> mDone;
   std::vector<LogLine> mLogLines;
-  /// Facts that other hosts told.
+  /// Facts received from other hosts.
   std::vector<gossip::Item> mReceivedFacts;
   bool mPolicyChanged = false;
   bool mTargetsChanged = false;
   bool mHostsChanged = false;
 };
 
-/// \brief A command of this host on its way to the leader.
+/// \brief A command of this host that the leader has not answered yet.
 struct PendingCommand
 {
   std::string mCommand;
@@ -154,18 +159,19 @@
   std::string mLastSentTo;
   Micros mStartedAt = 0;
   int mTries = 0;
-  /// The last host that was asked as the leader, and how many since the last
-  /// pause were named by another one.
+  /// The host last tried as the leader, and the redirects followed since the
+  /// last pause.
   std::string mTriedLeader;
   Micros mTriedLeaderAt = 0;
   int mRedirects = 0;
-  /// Control hosts in a row that knew of no leader.
+  /// Consecutive replies from control hosts that knew no leader.
   std::size_t mNoLeaderReplies = 0;
-  /// A read: the version of the policy that it has no need of.
+  /// For a read: the policy version that need not be sent.
   std::optional<std::uint64_t> mKnownPolicyVersion;
 };
 
-/// \brief A read that waits at this leader until a round has confirmed it.
+/// \brief A read that waits at the leader until a round has confirmed its
+/// leadership.
 struct PendingRead
 {
   std::uint64_t mRound = 0;
@@ -173,7 +179,7 @@
   std::optional<std::uint64_t> mKnownPolicyVersion;
 };
 
-/// \brief A command whose commit someone waits for at this leader.
+/// \brief A command at the leader whose sender waits for the commit.
 struct Waiter
 {
   std::uint64_t mTerm = 0;
@@ -181,7 +187,7 @@
   std::uint64_t mId = 0;
 };
 
-/// \brief Position in the group's log as of which its members are known.
+/// \brief Log position that a list of the group's members belongs to.
 struct MembershipVersion
 {
   std::uint64_t mTerm = 0;
@@ -193,20 +199,20 @@
   }
 };
 
-/// \brief What happened between this host and others since its start.
+/// \brief Counters of messages and upstream changes since the start.
 struct FleetCounters
 {
-  /// To followers.
+  /// Sent to followers.
   std::uint64_t mSnapshotsSent = 0;
   std::uint64_t mCommandsSent = 0;
   std::uint64_t mHostListsSent = 0;
   std::uint64_t mReferrals = 0;
-  /// Questions to control hosts for the group's word, while the own was old.
+  /// Queries to control hosts while this host's confirmation was old.
   std::uint64_t mConfirmationQueries = 0;
-  /// Upstreams that fell silent, and such that gave way to a better one.
+  /// Upstreams that fell silent, and upstreams left for a better one.
   std::uint64_t mUpstreamsLost = 0;
   std::uint64_t mUpstreamsLeft = 0;
-  /// Requests to join that this leader refused.
+  /// Join requests that this leader refused.
   std::uint64_t mJoinsRefused = 0;
 };
 
@@ -215,13 +221,13 @@
 {
   int mVoters = 0;
   int mAnswering = 0;
-  /// Voters that may still be lost while a majority answers; negative where
-  /// none does.
+  /// Further voters that may be lost while a majority answers; negative if
+  /// there is no majority.
   int mTolerated = 0;
 };
 
-/// \brief Since when the group tolerates less than it should, and when that was
-/// last logged; 0 for not at all.
+/// \brief Since when the group tolerates fewer losses than configured, and when
+/// that was last logged; 0 if it does not.
 struct GroupDegradation
 {
   Micros mDegradedSince = 0;
@@ -240,46 +246,48 @@
   /// Committed commands that followers may lack, oldest first.
   std::deque<wire::CommittedCommand> mRecent;
   std::uint64_t mRecentBytes = 0;
-  /// Commands up to this index are no longer in mRecent.
+  /// Commands up to this index have been dropped from mRecent.
   std::uint64_t mRecentBase = 0;
   std::uint64_t mLogBytes = 0;
 
-  /// The catalog as snapshot bytes, deflated, as of an index and a policy.
+  /// The catalog as a compressed snapshot, and the index and policy version
+  /// that it holds.
   std::string mPackedCatalog;
   std::uint64_t mPackedIndex = 0;
   std::uint64_t mPackedVersion = 0;
 
   std::map<std::string, Follower> mFollowers;
   std::map<std::string, DownstreamHost> mDownstream;
-  /// When followers were last told of commits, and when they are next; 0 for
-  /// not at all.
+  /// When commits were last pushed to followers, and when they are pushed next;
+  /// 0 for never.
   Micros mPushedAt = 0;
   Micros mPushAt = 0;
-  /// Hosts that asked while this one was out of touch; told when it no longer
-  /// is.
+  /// Hosts that asked while this one was out of touch; they are answered once
+  /// it is in touch again.
   std::set<std::string> mDeferredAskers;
   /// All hosts by peer address, this one included.
   std::map<std::string, Host> mHosts;
-  /// Numbers changes of hosts at this host.
+  /// Sequence number of the last change of a host at this host.
   std::uint64_t mHostsSequence = 0;
-  /// Digest of all hosts as of a change.
+  /// Digest of all hosts, and the sequence number for which it was computed.
   std::uint64_t mHostsDigest = 0;
   std::uint64_t mHostsDigestSequence = 0;
-  /// Last change taken from the upstream, and the upstream's incarnation.
+  /// Last change received from the upstream, and the upstream's incarnation.
   std::uint64_t mUpstreamSequence = 0;
   std::uint64_t mUpstreamIncarnation = 0;
   int mReportCount = 0;
-  /// Last change that the own directory was told of.
+  /// Last change published to this host's own directory.
   std::uint64_t mHostsPublished = 0;
-  /// Last change that the other control hosts were told of.
+  /// Last change sent to the other control hosts.
   std::uint64_t mHostsShared = 0;
-  /// Last change that followers must hear of without waiting for their report.
+  /// Last change that is pushed to followers instead of waiting for their next
+  /// report.
   std::uint64_t mHostsUrgent = 0;
 
-  /// Where the control group is: the seeds until its members are known.
+  /// Addresses of the control group; the seeds until its members are known.
   std::vector<std::string> mControlAddresses;
   MembershipVersion mMembershipVersion;
-  /// Which of the silent hosts are tried next.
+  /// Index of the silent host contacted next.
   std::size_t mSilentHostCursor = 0;
   bool mWasInTouch = false;
   std::string mUpstream;
@@ -287,41 +295,42 @@
   std::vector<std::string> mRoute;
   Micros mUpstreamSince = 0;
   Micros mUpstreamHeardAt = 0;
-  /// When the word was given that the upstream last passed on.
+  /// Time of the newest confirmation that came through the upstream.
   Micros mUpstreamConfirmedAt = 0;
-  /// At a host without a vote: when the group's word was given that it acts by,
-  /// and who told of it; 0 before the first one.
+  /// At a host that does not vote: time of the newest confirmation, and the
+  /// host that sent it; 0 before the first.
   Micros mConfirmedAt = 0;
   std::string mConfirmedBy;
-  /// Control hosts asked for the word since it was old, and when the next is.
+  /// Queries sent since the confirmation became old, and when the next one is
+  /// due.
   std::size_t mConfirmationAttempts = 0;
   Micros mQueryAt = 0;
   std::size_t mControlCursor = 0;
-  /// The upstream that would be better, while it is tried.
+  /// A better upstream that was asked and has not answered yet.
   std::string mCandidateUpstream;
   Micros mRebalanceAt = 0;
-  /// Upstreams that fell silent, and until when they are not tried again.
+  /// Upstreams that fell silent, and until when they are avoided.
   std::map<std::string, Micros> mSuspectedUntil;
-  /// Hosts that offered themselves while another one is tried that would be
-  /// better, and when one of them is taken; 0 while there are none.
+  /// Hosts that offered to be followed while a preferred one is being asked,
+  /// and when one of them is accepted; 0 if there are none.
   std::set<std::string> mOffers;
   Micros mAcceptOfferAt = 0;
   Micros mOfferAcceptedAt = 0;
-  /// Out of touch: when the next host is asked who is in touch, those that were
-  /// asked in this round, and the pause after it.
+  /// While out of touch: when the next host is asked, the hosts already asked
+  /// in this round, and the pause before the next round.
   Micros mDiscoverAt = 0;
   std::set<std::string> mDiscoveryAsked;
   Micros mDiscoveryPause = 0;
   std::string mLeaderAddress;
-  /// At a member of the group: when the leader's word was given as of which it
-  /// last held all that was committed; 0 before.
+  /// At a member of the group: time of the last confirmation by the leader at
+  /// which this member held all committed entries; 0 before the first.
   Micros mCaughtUpAt = 0;
   bool mInTouch = false;
 
   std::uint64_t mLastSubmitId = 0;
   std::map<std::uint64_t, PendingCommand> mPending;
   std::map<std::uint64_t, Waiter> mWaiters;
-  /// At the leader: reads by the host that asks and its number for them.
+  /// At the leader: pending reads by requesting host and that host's id.
   std::map<std::pair<std::string, std::uint64_t>, PendingRead> mReads;
 
   gossip::State mGossip;
@@ -330,93 +339,97 @@
 
   Micros mReportAt = 0;
   Micros mJoinAt = 0;
-  /// At a leader that stops: when it tries again to hand over its lead.
+  /// At a leader that stops: when the transfer of leadership is tried again.
   Micros mTransferRetryAt = 0;
-  /// When a refused request to join was last logged.
+  /// When a refused join request was last logged.
   Micros mJoinRefusedAt = 0;
   GroupDegradation mGroupDegradation;
   bool mReady = false;
   bool mStopping = false;
 };
 
-/// \brief Members of the group that seeds found; ids are equal on all of them.
+/// \brief Initial members of a group founded by the seeds; the ids are the same
+/// at all of them.
 [[nodiscard]] wire::Membership FoundingMembers(
   const std::vector<std::string>& aSeeds);
 
-/// \brief Id of a member: a host whose disk was replaced is a new member.
+/// \brief Id of a member; a host whose disk was replaced is a new member.
 [[nodiscard]] std::string MemberId(const std::string& aPeerAddress,
                                    const std::string& aStorage);
 
-/// \brief Starts a host from what its disk holds (nothing without a disk).
+/// \brief Starts a host from the data on its disk; there is none without a
+/// disk.
 [[nodiscard]] State Open(const Settings& aSettings,
                          const consensus::Recovered& aRecovered,
                          Micros aNow,
                          std::uint64_t aRandom,
                          Output& aOut);
 
-/// \brief Lets time pass.
+/// \brief Handles all timers that are due.
 void Tick(State& aState, Micros aNow, std::uint64_t aRandom, Output& aOut);
 
-/// \brief Takes a message from another host.
+/// \brief Handles a message from another host.
 void Receive(State& aState,
              Micros aNow,
              std::uint64_t aRandom,
              const wire::FleetMessage& aMessage,
              Output& aOut);
 
-/// \brief Sends a command to the leader; its end comes in Output::mDone.
+/// \brief Sends a command to the leader; its completion appears in
+/// Output::mDone.
 [[nodiscard]] std::uint64_t Submit(State& aState,
                                    Micros aNow,
                                    const wire::CatalogCommand& aCommand,
                                    Micros aPatience,
                                    Output& aOut);
 
-/// \brief Asks the leader which policy is the newest; its end comes in
-/// Output::mDone. A policy up to `aKnown` is not sent along.
+/// \brief Asks the leader for the newest policy; the completion appears in
+/// Output::mDone and holds the policy if it is newer than `aKnown`.
 [[nodiscard]] std::uint64_t Read(State& aState,
                                  Micros aNow,
                                  std::uint64_t aKnown,
                                  Output& aOut);
 
-/// \brief Tells the fleet a fact; what others tell comes in
+/// \brief Shares a fact with the fleet; facts of others appear in
 /// Output::mReceivedFacts.
 void ShareFact(State& aState, Micros aNow, gossip::Item aItem, Output& aOut);
 
-/// \brief Notes that all writes up to a sequence are on disk.
+/// \brief Records that all writes up to a sequence number are on disk.
 void Synced(State& aState, Micros aNow, std::uint64_t aSequence, Output& aOut);
 
-/// \brief Tells the fleet whether this host takes clients.
+/// \brief Sets whether this host accepts clients, and announces it.
 void SetReady(State& aState, Micros aNow, bool aReady, Output& aOut);
 
-/// \brief Announces that this host leaves, and hands leadership over.
+/// \brief Announces that this host is leaving, and transfers leadership.
 void BeginStop(State& aState, Micros aNow, Output& aOut);
 
-/// \brief Hosts that clients may be sent to, by caller address.
+/// \brief Hosts that clients may be sent to, ordered by peer address.
 [[nodiscard]] std::vector<const Host*> ReadyHosts(const State& aState,
                                                   Micros aNow);
 
-/// \brief Hosts known to be alive, this one included; at least 1.
+/// \brief Hosts considered alive, including this one; at least 1.
 [[nodiscard]] int LiveHosts(const State& aState, Micros aNow);
 
-/// \brief True while the control group's leader is heard, directly or not.
+/// \brief True while confirmations of the control group's leader arrive
+/// recently enough, directly or through other hosts.
 [[nodiscard]] bool IsInTouch(const State& aState, Micros aNow);
 
-/// \brief True once this host has held all that the group had committed when it
-/// gave its word; from then on its catalog only moves forward.
+/// \brief True once this host holds everything that was committed at the time
+/// of its confirmation; from then on its catalog only moves forward.
 [[nodiscard]] bool HasConfirmedCatalog(const State& aState, Micros aNow);
 
-/// \brief When a leader with a quorum gave the word that this host acts by; 0
-/// before the first one.
+/// \brief When a leader with a quorum last confirmed the state that this host
+/// acts on; 0 before the first confirmation.
 [[nodiscard]] Micros ConfirmedAt(const State& aState, Micros aNow);
 
-/// \brief How old that word is; none before the first one.
+/// \brief Age of that confirmation; none before the first one.
 [[nodiscard]] std::optional<Micros> ConfirmationAge(const State& aState,
                                                     Micros aNow);
 
-/// \brief How much of the control group is there; all zero without a disk.
+/// \brief Health of the control group; all zero at a host without a disk.
 [[nodiscard]] GroupHealth HealthOf(const State& aState, Micros aNow);
 
-/// \brief True for the address of a host known to be in the own data centre.
+/// \brief True for the address of a known host in the same data centre.
 [[nodiscard]] bool IsNear(const State& aState, const std::string& aAddress);
 
 /// \brief Lower-case name of a message's kind.
--- a/include/geraniumpond/fleet_inbox.h
+++ b/include/geraniumpond/fleet_inbox.h
@@ -12,17 +12,16 @@
 
 namespace geraniumpond::fleet {
 
-/// \brief Messages of other hosts that wait for the reducer, in order of
-/// precedence and bounded.
+/// \brief Bounded queue of received messages, ordered by priority.
 ///
-/// Messages of consensus come first, in the order in which they came; then
-/// urgent commands and the ends of commands; hosts that only ask who is in
-/// touch come last. Of the others a host's next report, and a command that was
-/// sent again, take the place of the one that still waits.
+/// Consensus messages come first, in the order of arrival, then urgent commands
+/// and submit replies; brief reports, which only look for a host in touch, come
+/// last. Of the remaining ones, a host's next report and a command that is sent
+/// again replace the queued message.
 class Inbox
 {
 public:
-  /// \brief Most bytes of messages that wait: a few snapshots.
+  /// \brief Maximum bytes of queued messages: room for a few snapshots.
   static constexpr std::size_t kMaxBytes = 16 * 1024 * 1024;
 
   explicit Inbox(std::size_t aMaxBytes = kMaxBytes)
@@ -30,15 +29,15 @@
   {
   }
 
-  /// \brief Queues a message; false when it cannot be read.
+  /// \brief Queues a message; returns false if it cannot be parsed.
   [[nodiscard]] bool Put(std::string_view aBytes, Micros aNow = 0);
 
-  /// \brief Takes all messages of consensus, up to `aOthers` urgent ones and as
+  /// \brief Takes all consensus messages, up to `aOthers` urgent ones and as
   /// many others.
   [[nodiscard]] std::vector<wire::FleetMessage> Take(std::size_t aOthers);
 
-  /// \brief How long the messages of consensus, and the others but questions,
-  /// have waited at most.
+  /// \brief Longest time that a queued message has waited, brief reports
+  /// excluded.
   [[nodiscard]] Micros LongestWait(Micros aNow) const noexcept;
 
   [[nodiscard]] bool IsEmpty() const noexcept { return Waiting() == 0; }
@@ -47,9 +46,9 @@
     return mConsensus.size() + mUrgent.size() + mOthers.size() +
            mBriefReports.size();
   }
-  /// \brief Messages that found no room since the start.
+  /// \brief Messages dropped since the start because the inbox was full.
   [[nodiscard]] std::uint64_t Dropped() const noexcept { return mDropped; }
-  /// \brief Messages whose place a later one of the same host took.
+  /// \brief Queued messages replaced by a later one of the same host.
   [[nodiscard]] std::uint64_t Replaced() const noexcept { return mReplaced; }
 
 private:
