--- a/src/fleet/confirmation.cpp
+++ b/src/fleet/confirmation.cpp
@@ -3,18 +3,18 @@
 #include <algorithm>
 #include <limits>
 
-// The group's word: up to where the log was committed when a leader with a
-// quorum said so. It goes from the leader to the voters, from these to their
-// followers and down the tree, and its age with it: a host that only knows that
-// somebody above it answers would add up the patience of all levels. A host
-// whose word is old asks a control host itself, and keeps its place in the
-// tree.
+// The group's confirmation: the position up to which the log was committed when
+// a leader with a quorum stated so. It travels from the leader to the voters,
+// to their followers and down the tree, together with its age. If a host knew
+// only that its upstream answers, the timeouts of all levels would add up. A
+// host with an old confirmation queries a control host directly and keeps its
+// place in the tree.
 namespace geraniumpond::fleet {
 
 namespace {
 
-// Those of the own data centre first; the order of the others is each host's
-// own.
+// Hosts of the own data centre first; the order of the others differs from host
+// to host.
 std::vector<std::string> ControlHostsInOrder(const State& aState, Micros aNow)
 {
   std::vector<std::pair<std::pair<int, std::uint64_t>, std::string>> ordered;
@@ -98,8 +98,8 @@
   return true;
 }
 
-// Control hosts that have nothing newer themselves are asked at the pace of
-// reports: the group may have no leader, and every host asks then.
+// Control hosts without a newer confirmation are queried only once per report
+// interval: the group may have no leader, and then every host queries.
 void HandleQueryAnswer(State& aState, Micros aNow)
 {
   if (aState.mConfirmationAttempts > 0) {
--- a/src/fleet/control_addresses.cpp
+++ b/src/fleet/control_addresses.cpp
@@ -3,27 +3,28 @@
 #include <algorithm>
 #include <utility>
 
-// Who tells whom where the control group is. A host asks its seeds and the
-// control hosts that it knows of. A control host answers; any other host refers
-// the asker to the control hosts that it knows of, at once or as soon as it has
-// found them. Where all seeds of a host know as little as it does, nobody could
-// refer it: control hosts make themselves known at their own seeds and at hosts
-// that fell silent. What is passed on is dated by the group's log.
+// How hosts learn where the control group is. A host asks its seeds and the
+// control hosts that it knows. A control host answers; any other host refers
+// the asker to the control hosts that it knows, at once or as soon as it has
+// found them. If all seeds of a host know as little as it does, nothing could
+// refer it, so control hosts announce themselves to their own seeds and to
+// silent hosts. The addresses are versioned by the group's log position.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Part of its lease after which a silent host may have restarted with nothing:
-/// relays and control hosts tell of it at least twice within a lease.
+/// Fraction of its lease after which a silent host may have restarted without
+/// state; relays and control hosts report it at least twice within a lease.
 constexpr double kRestartedLeaseFraction = 0.75;
-/// Silent hosts that one control host tries with each of its reports, in turn;
-/// all control hosts together try those of a data centre within seconds.
+/// Silent hosts that a control host contacts with each of its reports, in turn;
+/// all control hosts together reach those of a data centre within seconds.
 constexpr std::size_t kSilentHostsPerReport = 4;
-/// A host that has been silent for longer comes back by its seeds alone.
+/// A host that has been silent for longer finds the group through its seeds
+/// alone.
 constexpr Micros kSilentContactTime = 30 * kSecond;
 
-// The host may be there and not know where the group is. That goes for voters
-// as well: one that is back without its disk knows its seeds alone.
+// The host may be alive without knowing where the group is. This includes
+// voters: one that restarted without its disk knows only its seeds.
 bool MayLackAddresses(const State& aState,
                       const std::string& aAddress,
                       Micros aNow)
@@ -40,8 +41,8 @@
          kRestartedLeaseFraction * lease;
 }
 
-// Askers prefer a control host of their own data centre: one that is silent is
-// not worth their waiting.
+// Asking hosts prefer a control host of their own data centre, so silent ones
+// are not offered.
 std::string DataCentreIfAlive(const State& aState,
                               const std::string& aAddress,
                               Micros aNow)
@@ -52,8 +53,8 @@
   return heard ? found->second.mDataCentre : "";
 }
 
-// Those that stopped are among them: most are started again, and their seeds
-// may have gone meanwhile.
+// Includes stopped hosts: most are started again, and their seeds may be gone
+// meanwhile.
 std::vector<std::string> SilentHosts(const State& aState, Micros aNow)
 {
   std::vector<std::string> silent;
@@ -126,7 +127,7 @@
   wire::FollowReply& reply = *message.mutable_follow_reply();
   reply.set_brief(true);
   reply.set_data_centre(aState.mSettings.mDataCentre);
-  // A host that waits for its vote cannot be followed; it names the voters.
+  // A learner cannot be followed; it names the voters.
   const bool learns = IsControlMember(aState) && !HasVote(aState);
   const auto& route = aState.mRoute;
   const bool above = std::count(route.begin(), route.end(), aTo) != 0;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-/// Policies may be a hundred kilobytes each, and a disk holds 64 megabytes:
-/// the log is kept to a few megabytes.
+/// A policy may have a hundred kilobytes and a disk 64 megabytes: these limits
+/// keep the log to a few megabytes.
 constexpr std::size_t kSnapshotEntries = 200;
 constexpr std::size_t kRetainedEntries = 20;
-/// After a loss of all hosts each tenth of a second until there is a leader
-/// costs every client a request: a voter that starts asks for votes after 9 to
-/// 19 ms, and again after 37 to 75 ms, in which an election with four syncs of
-/// a disk of 5 ms ends.
+/// After a loss of all hosts, each tenth of a second without a leader costs
+/// every client a request. A voter that starts therefore asks for votes after 9
+/// to 19 ms, and again after 37 to 75 ms, which is enough for an election with
+/// four syncs of a disk that takes 5 ms for each.
 constexpr Micros kFirstVoteDivisor = 64;
 constexpr Micros kFirstElectionDivisor = 16;
-/// Commands that come within this time go to the members together; one alone
-/// goes at once. A small part of the time that an operator waits for an answer,
-/// which spares the leader most of its messages while a thousand targets
-/// announce themselves.
+/// Commands that arrive within this time are replicated together; a single one
+/// is replicated at once. This is a small part of the time that an operator
+/// waits for an answer, and saves the leader most of its messages while a
+/// thousand targets announce themselves.
 constexpr Micros kBatchPause = 20 * kMillisecond;
 
 void LoadRecovered(State& aState, Output& aOut)
@@ -59,8 +59,8 @@
   own.mSequence = changed ? ++aState.mHostsSequence : own.mSequence;
 }
 
-// A host that follows keeps the list as it was last told while it is out of
-// touch: silence says nothing of the others then.
+// A follower that is out of touch keeps the list that it last received, because
+// silence then says nothing about the other hosts.
 bool IsKnownAlive(const State& aState, const Host& aHost, Micros aNow)
 {
   return !aHost.mGone && (!HasVote(aState) ||
@@ -128,7 +128,8 @@
   }
   state.mGossip.mIncarnation = aSettings.mIncarnation;
   state.mControlCursor = static_cast<std::size_t>(aRandom % 1021);
-  // An answer to a command of an earlier life of this host ends none of this.
+  // A random first id: a reply to a command sent before a restart must not
+  // complete a command of this run.
   state.mLastSubmitId = aRandom;
   RefreshOwnHost(state, aNow);
   state.mReportAt = aNow;
@@ -254,8 +255,8 @@
   return std::max(1, static_cast<int>(live));
 }
 
-// A voter that is behind would hand an older catalog to its followers, and one
-// whose leader hears no quorum an old one.
+// A voter that is behind would give its followers an older catalog, and so
+// would one whose leader has no quorum.
 bool IsInTouch(const State& aState, Micros aNow)
 {
   const bool votes = HasVote(aState);
@@ -264,7 +265,7 @@
   return hears && age && *age < (votes ? kLeaderTimeout : kConfirmationTimeout);
 }
 
-// A learner is in touch through an upstream, while its catalog comes from the
+// A learner is in touch through an upstream, but its catalog comes from the
 // log, which may lag behind.
 bool HasConfirmedCatalog(const State& aState, Micros aNow)
 {
--- a/src/fleet/followers.cpp
+++ b/src/fleet/followers.cpp
@@ -4,21 +4,23 @@
 
 #include <algorithm>
 
-// Who follows this host, and what they report: a control host serves them from
-// its log, a relay from what its own upstream told it.
+// Hosts that follow this one, and their reports. A control host serves them
+// from its log, a relay from what its upstream sent.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Followers beyond which a newcomer is referred to one of them: twice what a
-/// place in the tree brings, for the time after a loss of many hosts and for
-/// data centres without a control host.
+/// With this many followers a new one is referred to one of them. Twice the
+/// number that the tree assigns, to allow for the time after a loss of many
+/// hosts and for data centres without a control host.
 constexpr std::size_t kMaxFollowers = 24;
-/// A relay passes on what its followers have to say together within this time.
+/// A relay collects changes of its followers for this long and reports them
+/// together.
 constexpr Micros kForwardPause = 50 * kMillisecond;
 
-// What a control host says of the group it has from itself; a relay has news of
-// it only once its own upstream has told it, and passes these on by itself.
+// A control host always has current information about the group. A relay has
+// news only when its upstream sent some, and pushes these to followers without
+// being asked.
 bool CanSkipReply(const State& aState, Micros aNow, const Follower& aFollower)
 {
   return !HasVote(aState) && !NeedsPush(aState, aFollower) &&
@@ -60,8 +62,8 @@
   return host;
 }
 
-// Of the followers that were heard lately one in the asker's data centre,
-// spread by the asker.
+// Picks a follower that was heard recently, if possible in the asking host's
+// data centre; the hash spreads the askers.
 std::string ReferralFor(const State& aState, const Host& aAsker, Micros aNow)
 {
   std::string best;
@@ -79,9 +81,10 @@
   return best;
 }
 
-// A fleet that starts would else follow the first host that is in touch: 470
-// lists of hosts and snapshots are 25 MB. Whoever lost its upstream gets what
-// it missed with the referral, a change of policy among it.
+// Without this limit a starting fleet would follow the first host that is in
+// touch: host lists and snapshots for 470 hosts are 25 MB. A host that lost its
+// upstream receives what it missed, such as a change of policy, along with the
+// referral.
 bool TryRefer(State& aState,
               Micros aNow,
               const Host& aAsker,
@@ -172,7 +175,7 @@
                   const wire::Follow& aMessage,
                   Output& aOut)
 {
-  // Whoever this host follows itself, directly or not, cannot follow it.
+  // Hosts upstream of this one cannot follow it.
   const auto& route = aState.mRoute;
   if (std::count(route.begin(), route.end(), aFrom) != 0) {
     ReferToControl(aState, aNow, aFrom, aOut);
@@ -206,8 +209,8 @@
     told.mReportedBy = aFrom;
     MergeHost(aState, std::move(told));
   }
-  // A host at a voter's address may be a new one with an empty disk: what it
-  // says of itself counts.
+  // A host at a voter's address may be a new one with an empty disk, so only
+  // what it reports about itself counts.
   PublishHostChanges(aState, aNow, aOut);
   if (aMessage.once() && HasVote(aState)) {
     AnswerQuery(aState, aNow, aFrom, aMessage, aOut);
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Log bytes after which a snapshot is taken: a small part of a small disk.
+/// Size of the log at which a snapshot is taken: a small part of a small disk.
 constexpr std::uint64_t kSnapshotBytes = 2 * 1024 * 1024;
 
 std::string AddressOfMember(const State& aState, const std::string& aId)
@@ -16,7 +16,7 @@
       return member.address();
     }
   }
-  // A member that was removed is still told so.
+  // A removed member is still notified of its removal.
   return aId.substr(0, aId.find('/'));
 }
 
@@ -73,7 +73,7 @@
   }
   const Waiter waiter = found->second;
   aState.mWaiters.erase(found);
-  // Another leader's entry took the place of the command.
+  // An entry of another leader replaced the command.
   if (waiter.mTerm != aEntry.term()) {
     return;
   }
@@ -125,8 +125,7 @@
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
-// How long each side had not heard the other tells a leader that is late from
-// one that is gone.
+// The silence on both sides distinguishes a slow leader from a lost one.
 std::string DescribeSilence(const State& aState, Micros aNow)
 {
   const consensus::State& group = aState.mGroup;
--- a/src/fleet/group_health.cpp
+++ b/src/fleet/group_health.cpp
@@ -2,24 +2,23 @@
 
 #include <algorithm>
 
-// What of the control group is there, and what may still be lost of it. Without
-// these lines a group that cannot elect, one whose elections do not end and one
-// that lost what it had acknowledged look the same from outside: a host that is
-// out of touch.
+// Health of the control group. Without these log lines three failures look
+// alike from outside, as a host that is out of touch: a group that cannot elect
+// a leader, one whose elections do not end, and one that lost acknowledged
+// changes.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// A voter that was not heard for this long does not count as answering: two
-/// reports in a row are missing.
+/// A voter that was silent for longer does not count as answering: two reports
+/// in a row are missing.
 constexpr Micros kAnswerTimeout = 2 * kHostReportInterval;
-/// A weakness that lasts shorter is a restart or an election, not worth a line.
+/// A shorter degradation is a restart or an election and is not logged.
 constexpr Micros kDegradedLogDelay = 1 * kSecond;
-/// Pace of the lines while a weakness lasts.
+/// Interval between log lines while a degradation lasts.
 constexpr Micros kDegradedLogInterval = 5 * kSecond;
 
-// The leader hears members themselves; others hear the hosts at their
-// addresses.
+// The leader hears members directly; others hear the hosts at their addresses.
 bool IsAnswering(const State& aState, const wire::Member& aMember, Micros aNow)
 {
   const consensus::State& group = aState.mGroup;
@@ -43,7 +42,7 @@
          " tolerated=" + std::to_string(aHealth.mTolerated);
 }
 
-// What the last election of this member ended with, and how far its log goes.
+// Result of this member's last election, and the end of its log.
 std::string DescribeElection(const consensus::State& aGroup)
 {
   const std::uint64_t last = consensus::LastIndex(aGroup);
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -4,19 +4,19 @@
 
 #include <algorithm>
 
-// The list of hosts, as control hosts keep it and relays pass it on.
+// The list of hosts, which control hosts maintain and relays forward.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Control hosts tell each other of all their followers once in so many
-/// reports; of changes at once.
+/// Control hosts report all of their followers to each other only in each such
+/// report; changes are reported at once.
 constexpr int kFullReportEvery = 3;
-/// A host that is gone is remembered for this long, so that all have heard of
-/// it and a late word of it does not bring it back: twice the time in which
-/// control hosts look for it.
+/// A host that is gone is kept for this long, so that all hosts learn of it and
+/// a delayed report does not bring it back: twice the time for which control
+/// hosts try to contact it.
 constexpr Micros kGoneRetention = 60 * kSecond;
-/// What another control host tells of is older by its pace.
+/// Hosts reported by another control host are heard less often.
 constexpr Micros kIndirectLease =
   kHostLease + kFullReportEvery * kHostReportInterval;
 
@@ -27,7 +27,7 @@
   return Hash64(aHost.mPeerAddress, aHost.mIncarnation * 4 + state);
 }
 
-// Whoever told of a host last knows best that it is gone.
+// Only the last reporter of a host can tell that it is gone.
 void MergeGone(State& aState, const Host& aHost)
 {
   const auto found = aState.mHosts.find(aHost.mPeerAddress);
@@ -48,7 +48,7 @@
   return aHost.mGone || aHost.mStopping;
 }
 
-// True when it changed what is known.
+// Returns true if the change was new.
 bool ApplyHostChange(State& aState, const Host& aHost)
 {
   const auto found = aState.mHosts.find(aHost.mPeerAddress);
@@ -65,7 +65,8 @@
   return true;
 }
 
-// All hosts of some data centres, or of all, are told: others are gone there.
+// The reply lists all hosts of some data centres or of the whole fleet: hosts
+// missing from the list are gone.
 int MarkUnlistedGone(State& aState, const wire::FollowReply& aMessage)
 {
   std::set<std::string> told;
@@ -89,7 +90,7 @@
   return dropped;
 }
 
-// Data centres of whose hosts the two sides know different things.
+// Data centres for which the digests of the two sides differ.
 std::set<std::string> DifferingDataCentres(const HostDigests& aOwn,
                                            const HostDigests& aOther)
 {
@@ -108,8 +109,8 @@
   return differing;
 }
 
-// Whoever changes its upstream knows the same hosts mostly, and lists are large
-// beside the links of small hosts.
+// A host that changed its upstream mostly knows the same hosts, and full lists
+// are large for the links of small hosts.
 void FillAllHosts(const State& aState,
                   Micros aNow,
                   const Follower& aFollower,
@@ -173,7 +174,7 @@
            aHost.control() };
 }
 
-// Without the host that asks: what it says of itself is on its way still.
+// Excludes the asking host, whose own report may still be under way.
 HostDigests Digests(const State& aState, const std::string& aExcept)
 {
   HostDigests digests;
@@ -185,7 +186,7 @@
   return digests;
 }
 
-// Reports are many and changes are few.
+// Reports are frequent and changes are rare, so the digest is cached.
 std::uint64_t DigestOfAll(State& aState, const std::string& aExcept)
 {
   if (aState.mHostsDigestSequence != aState.mHostsSequence) {
@@ -200,8 +201,9 @@
   return aState.mHostsDigest ^ (counted ? DigestOf(found->second) : 0);
 }
 
-// The later incarnation wins; within one, whoever heard it last does. An
-// earlier number may still be later in time where a clock was set back.
+// The later incarnation wins; within the same one, the most recent report does.
+// If a clock was set back, a lower incarnation may be the later one, so an
+// expired entry is always replaced.
 void MergeHost(State& aState, Host aHost)
 {
   if (aHost.mGone) {
@@ -251,8 +253,8 @@
   aFollower.mHostsSequence = aState.mHostsSequence;
 }
 
-// The upstream tells what has changed; the rest is as old as the word that it
-// passes on.
+// The upstream sends only changes; all other hosts were last heard at the time
+// of its confirmation.
 void ApplyHostChanges(State& aState,
                       Micros aNow,
                       const wire::FollowReply& aMessage,
@@ -287,19 +289,19 @@
       host.mGone ? host.mHeardAt : std::max(host.mHeardAt, wordAt);
   }
   aState.mUpstreamSequence = aMessage.hosts_sequence();
-  // An older upstream's word may have come after this host told the new one
-  // what it knows.
+  // A message from the previous upstream may have arrived after this host
+  // reported its hosts to the new one.
   if (aMessage.hosts_differ()) {
     aState.mUpstreamSequence = 0;
     aState.mUpstreamIncarnation = 0;
   }
 }
 
-// The followers of a control host that fell silent need time to find another
-// one and to be told of by it; their own silence says nothing before.
+// Followers of a control host that fell silent need time to find another one
+// and to be reported by it; until then their silence says nothing about them.
 Micros LeaseOf(const State& aState, const Host& aHost, Micros aNow)
 {
-  // Known from the upstream that this host had before it got its vote.
+  // Learned from an upstream before this host became a voter.
   if (aHost.mReportedBy.empty()) {
     return kIndirectLease + kFailoverTime;
   }
@@ -316,8 +318,8 @@
   return silent ? lease + kFailoverTime : lease;
 }
 
-// Other control hosts trust in whoever told of a host last: that this one does
-// now is news to them, though the host is as it was.
+// Other control hosts trust the last reporter of a host, so a new reporter is
+// news to them even if the host did not change.
 void AddFollowersToReport(State& aState, Micros aNow, wire::Follow& aFollow)
 {
   const bool all = ++aState.mReportCount % kFullReportEvery == 0;
@@ -335,8 +337,8 @@
   aState.mHostsShared = aState.mHostsSequence;
 }
 
-// Fleets replace their hosts: without an end each that ever was costs every
-// other one some 200 bytes, and a look at each report.
+// Fleets replace their hosts: if gone hosts were never dropped, each would cost
+// every other host some 200 bytes, and time for each report.
 void ForgetGoneHosts(State& aState, Micros aNow)
 {
   for (auto it = aState.mHosts.begin(); it != aState.mHosts.end();) {
@@ -351,8 +353,8 @@
   if (!HasVote(aState)) {
     return;
   }
-  // Without the group's majority silence says more of this host's links than
-  // of the others.
+  // Without the group's majority, silence says more about this host's links
+  // than about the other hosts.
   if (!IsInTouch(aState, aNow)) {
     for (auto& [address, host] : aState.mHosts) {
       host.mHeardAt = std::max(host.mHeardAt, aNow - kHostLease / 2);
@@ -380,8 +382,8 @@
   const bool urgent = aState.mHostsUrgent > aState.mHostsPublished;
   aState.mHostsPublished = aState.mHostsSequence;
   aOut.mHostsChanged = true;
-  // Followers hear of most changes with their next report's answer; a host
-  // that stops or is gone must leave their answers to clients sooner.
+  // Followers receive most changes with the answer to their next report; a host
+  // that stops or is gone must disappear from their answers to clients sooner.
   if (urgent) {
     PushToFollowers(aState, aNow, aOut);
   }
--- a/src/fleet/inbox.cpp
+++ b/src/fleet/inbox.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What a host says in a report holds all that it said in the one before; only
-// one that changes whom it follows says something of its own.
+// A report contains everything that the host's previous one did, except for
+// reports that concern a change of upstream.
 bool IsLaterReport(const wire::Follow& aNext, const wire::Follow& aWaiting)
 {
   return aNext.brief() == aWaiting.brief() &&
@@ -16,7 +16,7 @@
          aNext.followers_size() >= aWaiting.followers_size();
 }
 
-// A command that waits here for longer than its sender's patience comes again.
+// A sender repeats a command that was not answered within its retry time.
 bool Supersedes(const wire::FleetMessage& aNext,
                 const wire::FleetMessage& aWaiting)
 {
@@ -30,7 +30,8 @@
 
 } // namespace
 
-// Whoever has been answered already is served before others are told to come.
+// Hosts that this one serves already come before those that still look for an
+// upstream.
 std::deque<Inbox::Queued>& Inbox::QueueOf(const wire::FleetMessage& aMessage)
 {
   if (aMessage.has_consensus()) {
@@ -74,7 +75,7 @@
   if (Replace(next)) {
     return true;
   }
-  // Every protocol between hosts repeats what was lost.
+  // Every protocol between hosts repeats lost messages.
   if (mBytes + next.mBytes > mMaxBytes) {
     ++mDropped;
     return true;
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -3,65 +3,65 @@
 #include <algorithm>
 #include <utility>
 
-// Who belongs to the control group. A voter that is gone still counts towards
-// the majority: with four voters, one of them gone for good, the loss of one
-// more leaves two of four, and nothing can be committed or read ever again. So
-// the leader takes out voters that are gone as soon as the rest would tolerate
-// more losses without them, and never below the number that the tolerated
-// losses need.
+// Membership of the control group. A lost voter still counts towards the
+// majority: with four voters, one of them lost for good, the loss of one more
+// leaves two of four, and nothing can be committed or read ever again. The
+// leader therefore demotes lost voters as soon as the remaining ones would
+// tolerate more losses without them, but never below the number that the
+// configured losses require.
 //
-// One change at a time, each committed by the majority before and after it; a
-// voter is made a learner first, so that one that was only cut off or restarted
-// has its vote back as soon as it answers.
+// Changes are made one at a time, each committed by the majority before and
+// after it. A voter is first made a learner, so that one that was only cut off
+// or restarted regains its vote as soon as it answers.
 namespace geraniumpond::fleet {
 
 namespace {
 
 constexpr Micros kJoinInterval = 300 * kMillisecond;
-/// A voter must have been silent for this long to be taken out. Shorter than
-/// any bound on how long a lost host may stay unreplaced, longer than an
-/// election, so that a slow host is not taken for a lost one.
+/// Silence after which a voter may be demoted. Shorter than any limit on
+/// replacing a lost host, longer than an election, so that a slow host is not
+/// considered lost.
 constexpr Micros kVoterTimeout = 2500 * kMillisecond;
-/// Time for a member's first answer to a new leader: some heartbeats.
+/// Time for a member's first answer to a new leader: several heartbeats.
 constexpr Micros kFirstAnswerTime = 700 * kMillisecond;
-/// A member that has been silent for longer is taken out though the group can
-/// do with it, so that members that are gone do not add up: longer than a host
-/// takes to restart, and than most cuts.
+/// Silence after which a member is removed even if the group does not need it,
+/// so that lost members do not accumulate. Longer than a restart and than most
+/// network partitions.
 constexpr Micros kMemberExpiry = 8 * kSecond;
-/// A leader that stops and still leads tries again after this time: an election
-/// takes less.
+/// A stopping leader that still leads tries the transfer again after this time;
+/// an election takes less.
 constexpr Micros kTransferPause = 1 * kSecond;
-/// Members count as there for a change of members when they have answered
-/// within this time: a heartbeat and its trip.
+/// Members count as present for a membership change if they answered within
+/// this time: a heartbeat and its round trip.
 constexpr Micros kAnswerWindow = 200 * kMillisecond;
-/// A member that hears no leader for this long asks to join: the others may
-/// have removed it while it was cut off.
+/// A member that hears no leader for this long asks to join: it may have been
+/// removed while it was cut off.
 constexpr Micros kRejoinAfter = 2 * kSecond;
-/// A learner becomes a voter when it lacks no more than this many entries.
+/// A learner that lacks at most this many entries may become a voter.
 constexpr std::uint64_t kCaughtUp = 10;
-/// Pace of lines on refused requests to join: each joiner asks three times a
-/// second.
+/// Minimum interval between log lines on refused join requests; a joining host
+/// asks three times a second.
 constexpr Micros kRefusalLinePause = 5 * kSecond;
 
-// With 2n+1 voters n disks can be lost, and a majority is left that holds all
-// that was committed; with fewer the group would be stuck for good.
+// Of 2n+1 voters n disks can be lost, and a majority remains that holds
+// everything committed; with fewer voters the group would be blocked for good.
 int MinVoters(const State& aState)
 {
   return 2 * aState.mSettings.mToleratedLosses + 1;
 }
 
-/// \brief What the leader knows of one member.
+/// \brief What the leader knows about a member.
 struct MemberView
 {
-  /// Time since it answered.
+  /// Time since its last answer.
   Micros mSilent = 0;
-  /// The host was told to stop.
+  /// The host is shutting down.
   bool mStopping = false;
-  /// Another member has its address: the disk of this one is gone.
+  /// A newer member has the same address: this one's disk is gone.
   bool mReplaced = false;
 };
 
-// Member of a later disk at the same address; joiners are added at the end.
+// A later voter has the same address; new members are added at the end.
 bool IsReplaced(const wire::Membership& aMembers, const wire::Member& aMember)
 {
   bool after = false;
@@ -74,8 +74,8 @@
   return false;
 }
 
-// A leader that was elected just now has heard no answer of its term yet: the
-// reports that the hosts at the members' addresses send count from before.
+// A newly elected leader has no answer of its own term yet, so until then the
+// reports from the hosts at the members' addresses count.
 Micros SilenceOf(const State& aState, const wire::Member& aMember, Micros aNow)
 {
   const auto progress = aState.mGroup.mProgress.find(aMember.id());
@@ -107,7 +107,8 @@
   return aView.mStopping || aView.mReplaced || aView.mSilent > kVoterTimeout;
 }
 
-// Its disk is gone, or it was silent for so long that it will hardly come back.
+// Its disk is gone, or it has been silent for so long that it is unlikely to
+// return.
 bool CanBeDropped(const MemberView& aView)
 {
   return aView.mReplaced || aView.mSilent > kMemberExpiry;
@@ -145,7 +146,7 @@
   return next;
 }
 
-// Whether a member has answered this leader lately, and after a time.
+// Whether a member has answered this leader recently, and after a given time.
 bool AnswersSince(const State& aState,
                   const wire::Member& aMember,
                   Micros aNow,
@@ -161,11 +162,11 @@
          aNow - progress->second.mHeardAt <= kAnswerWindow;
 }
 
-// A vote more makes an even group odd, which tolerates one loss more, or an odd
-// one even, which tolerates as many as before but needs one voter more. So a
-// newcomer to an odd group waits until all voters have answered since it came,
-// or one of them has left. A newcomer at a voter's address is that voter's next
-// disk.
+// A further vote makes an even group odd, which tolerates one more loss. It
+// makes an odd group even, which tolerates no more losses but needs one more
+// voter. So a learner in an odd group waits until all voters have answered
+// since it joined, or one of them has left. A learner at a voter's address is
+// that voter with a new disk.
 bool IsVoteUseful(const State& aState,
                   Micros aNow,
                   const wire::Member& aLearner,
@@ -188,8 +189,8 @@
   return allAnswer || anyLeft;
 }
 
-// Whether the voters that answer, but for one, are a majority of a group of
-// another size.
+// Whether the voters that answer, without the excluded one, are a majority of a
+// group of the given size.
 bool IsMajorityOf(const State& aState,
                   Micros aNow,
                   std::size_t aVoters,
@@ -216,16 +217,15 @@
          IsVoteUseful(aState, aNow, aLearner, progress->second.mKnownSince);
 }
 
-// A disk that was replaced does not come back; of silent hosts the one that has
-// been away for longest is the least likely to.
+// A replaced disk does not return; of silent hosts the one with the longest
+// silence is least likely to.
 bool IsLikelierGone(const MemberView& aView, const MemberView& aThan)
 {
   return std::make_pair(aView.mReplaced, aView.mSilent) >
          std::make_pair(aThan.mReplaced, aThan.mSilent);
 }
 
-// The voter that has left and is least likely to come back; none where all are
-// there.
+// The voter that has left and is least likely to return; null if there is none.
 const wire::Member* GoneVoter(const State& aState,
                               Micros aNow,
                               MemberView& aSeen)
@@ -279,10 +279,10 @@
                 aOut);
 }
 
-// The newcomer may be gone by the time that its vote counts: no change may need
-// the host that it adds. Where the voters that answer would not be a majority
-// with it, the one that has left makes room first. Meanwhile the group needs
-// just those that it needs already.
+// The learner may be lost by the time its vote counts, so no change may depend
+// on the host that it adds. If the answering voters would not be a majority of
+// the larger group, a voter that has left is demoted first. Until the promotion
+// the group needs only voters that it needs already.
 bool MakeRoom(State& aState,
               Micros aNow,
               const wire::Member& aLearner,
@@ -301,7 +301,7 @@
   return true;
 }
 
-// A learner that has caught up becomes a voter.
+// Promotes a learner that has caught up.
 bool PromoteLearner(State& aState, Micros aNow, Output& aOut)
 {
   const wire::Membership& members = aState.mGroup.mMembership;
@@ -323,9 +323,10 @@
   return false;
 }
 
-// Whether fewer voters tolerate more. Of five with one gone one more may be
-// lost, of four one as well, and the gone one may come back: it stays. Of four
-// with one gone none may be lost, of three one may: it goes.
+// Whether fewer voters tolerate more losses. Of five voters with one lost, one
+// more may be lost, and the same holds for four, so the lost one stays as it
+// may return. Of four with one lost none may be lost, but of three one may, so
+// it is demoted.
 bool IsShrinkingWorthIt(const State& aState, int aVoters, int aLeft)
 {
   const int there = aVoters - aLeft;
@@ -343,8 +344,8 @@
   return aView.mStopping ? "stopping" : "silent";
 }
 
-// A voter that has left becomes a learner. A disk that is gone comes first, and
-// needs no other reason.
+// Demotes a voter that has left to learner. A lost disk comes first and needs
+// no other reason.
 bool DemoteGoneVoter(State& aState, Micros aNow, Output& aOut)
 {
   const consensus::State& group = aState.mGroup;
@@ -360,7 +361,7 @@
   return true;
 }
 
-// A learner counts for nothing, but is told of every entry.
+// A learner has no vote, but is sent every entry.
 bool RemoveGoneLearner(State& aState, Micros aNow, Output& aOut)
 {
   const wire::Membership& members = aState.mGroup.mMembership;
@@ -397,8 +398,8 @@
   }
 }
 
-// A joiner may know other hosts than the leader. Only what it sends itself is
-// passed on, so that no request goes around in circles.
+// A joining host may know other hosts than the leader. Only requests that came
+// from it directly are forwarded, so that none circulates.
 void ForwardJoin(State& aState,
                  const wire::Member& aJoiner,
                  const std::string& aFrom,
@@ -414,7 +415,7 @@
   SendTo(aState, leader, std::move(message), aOut);
 }
 
-// What is wrong with a request to join; empty when nothing is.
+// The fault of a join request; empty if there is none.
 std::string JoinFault(const wire::Member& aJoiner)
 {
   if (aJoiner.storage().empty() || aJoiner.address().empty()) {
@@ -458,7 +459,7 @@
   if (aState.mStopping && aNow >= aState.mTransferRetryAt) {
     TransferLeadership(aState, aNow, aOut);
   }
-  // Newcomers first: the group is never smaller than it must be.
+  // Promotions first, so that the group is never smaller than necessary.
   (void)(PromoteLearner(aState, aNow, aOut) ||
          DemoteGoneVoter(aState, aNow, aOut) ||
          RemoveGoneLearner(aState, aNow, aOut));
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -1,7 +1,7 @@
 #include "internal.h"
 
-// With whom a host exchanges facts: along the tree of relays both ways, and at
-// the top with all of the control group. None of it needs a leader.
+// Hosts with which this one exchanges facts: its upstream and followers, and
+// all of the control group at the top of the tree. None of this needs a leader.
 namespace geraniumpond::fleet {
 
 namespace {
@@ -12,8 +12,8 @@
   return found == aState.mHosts.end() ? 0 : found->second.mIncarnation;
 }
 
-// While the group has no leader nobody is followed: whoever asks control hosts
-// for one exchanges facts with them.
+// While the group has no leader, nobody is followed; hosts that ask control
+// hosts for an upstream exchange facts with them instead.
 std::map<std::string, std::uint64_t> Neighbours(const State& aState)
 {
   std::map<std::string, std::uint64_t> neighbours;
--- a/src/fleet/preferred_upstream.cpp
+++ b/src/fleet/preferred_upstream.cpp
@@ -4,24 +4,24 @@
 
 #include <algorithm>
 
-// Which host would be best to follow. In each data centre a few hosts follow a
-// control host directly, and the others follow these, in levels: a control host
-// has as many followers as one level's first, whatever the size of the fleet.
-// A host's place follows from the list of hosts alone: nobody assigns it, and a
-// place is only ever below one of an earlier level.
+// Which host to follow. In each data centre a few hosts follow a control host
+// directly, and the others follow these, in levels, so that a control host
+// serves only the first level whatever the size of the fleet. The position of a
+// host in the tree follows from the list of hosts alone: nothing assigns it,
+// and an upstream is always of an earlier level.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Hosts of a data centre that follow a control host directly, and followers
-/// of each relay: few enough for a small host to serve, and two levels reach
-/// 156 hosts of a data centre, three 1,884.
+/// Hosts of a data centre that follow a control host directly, and followers of
+/// each relay. Few enough for a small host to serve; two levels reach 156 hosts
+/// of a data centre, three reach 1,884.
 constexpr std::size_t kDegree = 12;
-/// An upstream that fell silent is not tried again for this long: a process
-/// that was killed is back by then, and a host that is gone is known to be.
+/// Time for which a silent upstream is avoided. A killed process is back by
+/// then, and a lost host is known to be gone.
 constexpr Micros kSuspectTime = 5 * kSecond;
 
-// Hosts of the own data centre that follow, in the order of their places.
+// Followers of the own data centre in tree order.
 std::vector<std::string> PlacesOfDataCentre(const State& aState)
 {
   std::vector<std::pair<std::uint64_t, std::string>> ordered;
@@ -62,7 +62,7 @@
   return Hash64(aState.mSettings.mPeerAddress + "|" + aAddress);
 }
 
-// Rendezvous hashing: a candidate that comes or goes moves few hosts.
+// Rendezvous hashing: adding or removing a candidate moves few hosts.
 std::string Heaviest(const State& aState,
                      const std::vector<std::string>& aCandidates)
 {
@@ -78,8 +78,8 @@
   return best;
 }
 
-// Spread over the control hosts of the own data centre; where there are none,
-// over all of them.
+// Spreads hosts over the control hosts of their own data centre; if there are
+// none, over all of them.
 std::string PreferredControl(const State& aState, Micros aNow)
 {
   std::vector<std::string> near;
--- a/src/fleet/reads.cpp
+++ b/src/fleet/reads.cpp
@@ -1,10 +1,10 @@
 #include "internal.h"
 
-// The leader answers a read of the policy with what it has applied, once a
-// quorum has confirmed that it still leads. Nothing is written for it, so that
-// it waits neither for a disk nor behind the announcements of targets. The
-// answer brings the policy along where the asking host has an older one: that
-// may be far down the tree, or out of touch.
+// Policy reads. The leader answers a read with the state that it has applied,
+// once a quorum has confirmed that it still leads. Nothing is written for a
+// read, so that it waits neither for a disk nor behind target announcements.
+// The answer includes the policy if the asking host has an older one, as that
+// host may be far down the tree or out of touch.
 namespace geraniumpond::fleet {
 
 namespace {
@@ -51,7 +51,7 @@
                 const wire::Submit& aMessage,
                 Output& aOut)
 {
-  // One that was sent again waits on for the round of the first.
+  // A repeated read keeps waiting for the round of the first one.
   const auto [entry, added] =
     aState.mReads.try_emplace({ aFrom, aMessage.id() });
   if (!added) {
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -3,16 +3,17 @@
 #include <algorithm>
 #include <limits>
 
-// What a host tells those that follow it, of the catalog and the group's word.
+// What followers are sent: commands, snapshots, policies and confirmations.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Committed commands kept for followers; whoever lacks more gets a snapshot.
+/// Committed commands kept for followers; a follower that lacks older ones
+/// receives a snapshot.
 constexpr std::size_t kRecentCommands = 4000;
 constexpr std::uint64_t kRecentBytes = 2 * 1024 * 1024;
-/// A follower that lacks more commands than these gets a snapshot where it
-/// reads a deflated one, which is smaller then.
+/// A follower that lacks more commands receives a snapshot if it can read a
+/// compressed one, which is then smaller.
 constexpr std::size_t kMaxCommands = 300;
 
 const std::string& PackedCatalog(State& aState)
@@ -27,7 +28,7 @@
   return aState.mPackedCatalog;
 }
 
-// A snapshot may be lost, or take long on a slow link.
+// The policy is sent in addition to a snapshot, which may be lost or slow.
 void FillPolicy(const State& aState,
                 Follower& aFollower,
                 wire::FollowReply& aReply)
@@ -43,7 +44,7 @@
                   Follower& aFollower,
                   wire::FollowReply& aReply)
 {
-  // On a slow link a snapshot takes longer than the pace of reports.
+  // On a slow link a snapshot takes longer than a report interval.
   if (aNow - aFollower.mSnapshotAt < kSnapshotRetry) {
     FillPolicy(aState, aFollower, aReply);
     return;
@@ -70,7 +71,7 @@
          aFollower.mHostsSequence < aState.mHostsUrgent;
 }
 
-// Hosts of an earlier version take no policy but with the commands before it.
+// Hosts of an earlier version accept a policy only as a command.
 std::uint64_t PolicyVersionOf(const wire::Follow& aMessage)
 {
   return aMessage.has_policy_version()
@@ -78,8 +79,8 @@
            : std::numeric_limits<std::uint64_t>::max();
 }
 
-// What the log holds beside, members and barriers of reads, is no news to
-// followers.
+// Other log entries, such as membership changes and read barriers, are not sent
+// to followers.
 std::uint64_t LastCommandIndex(const State& aState)
 {
   return aState.mRecent.empty() ? aState.mRecentBase
@@ -207,8 +208,9 @@
   }
 }
 
-// The first news after a quiet time are told at once, others with the next
-// push: followers are many, and a fleet's targets announce themselves together.
+// The first change after a quiet period is pushed at once, others with the next
+// push: there are many followers, and the targets of a fleet announce
+// themselves together.
 void PushToFollowers(State& aState, Micros aNow, Output& aOut)
 {
   if (aNow < aState.mPushedAt + kPushPause) {
--- a/src/fleet/reply_commands.cpp
+++ b/src/fleet/reply_commands.cpp
@@ -1,6 +1,6 @@
 #include "internal.h"
 
-// What a host without a vote takes of the catalog from others.
+// Catalog updates that a host which does not vote receives in replies.
 namespace geraniumpond::fleet {
 
 namespace {
@@ -29,7 +29,7 @@
                                  loaded.error().mMessage + "\"" });
     return;
   }
-  // A policy that came ahead may be newer than the snapshot's.
+  // A policy that was sent separately may be newer than the snapshot's.
   const wire::PutPolicy known = aState.mCatalog.mChange;
   aState.mCatalog = std::move(loaded.value());
   (void)catalog::TakePolicy(aState.mCatalog, known);
@@ -49,7 +49,7 @@
 
 } // namespace
 
-// The catalog only moves forward: what is older than the last index is void.
+// The catalog only moves forward: commands up to the applied index are ignored.
 void ApplyReplyCommands(State& aState,
                         const std::string& aFrom,
                         const wire::FollowReply& aMessage,
@@ -64,7 +64,7 @@
       catalog::TakePolicy(aState.mCatalog, aMessage.policy())) {
     aOut.mPolicyChanged = true;
   }
-  // A message before this one was lost: the next report asks for all again.
+  // An earlier message was lost: the next report requests the missing commands.
   if (aMessage.commands_after() > aState.mApplied) {
     return;
   }
@@ -75,7 +75,7 @@
       RecordCommand(aState, command.index(), command.command());
     }
   }
-  // Only a relay has use for what it has taken.
+  // Only a relay needs to keep the commands.
   if (aState.mFollowers.empty()) {
     aState.mRecent.clear();
     aState.mRecentBytes = 0;
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/// A command without an answer is sent again after this time: a round trip
-/// between regions and a commit on a slow disk. The time doubles with each try,
-/// so that a leader that is behind is not asked for the same thing more often.
+/// Time after which an unanswered command is sent again: a round trip between
+/// regions and a commit on a slow disk. It doubles with each attempt, so that
+/// an overloaded leader is not flooded with repetitions.
 constexpr Micros kSubmitRetry = 250 * kMillisecond;
-/// Hosts that were replaced as leaders may name each other for a moment.
+/// Replaced leaders may name each other for a moment.
 constexpr int kMaxRedirects = 3;
 /// A leader that others still name is asked again after this time.
 constexpr Micros kBusyLeaderTime = 400 * kMillisecond;
 
-// Enough disks hold a committed command to outlive the tolerated losses only
-// while a quorum is larger than these.
+// Committed commands are on enough disks to survive the tolerated losses only
+// if a quorum is larger than that number.
 bool QuorumOutlivesLosses(const State& aState)
 {
   const int voters =
@@ -25,16 +25,16 @@
   return voters / 2 + 1 > aState.mSettings.mToleratedLosses;
 }
 
-// Targets announce themselves to hosts that have not heard of them yet: what
-// the group has committed already needs no entry in the log, nor a message to
-// every host.
+// Targets announce themselves to hosts that do not know them yet; what the
+// group has committed already needs neither a log entry nor messages to all
+// hosts.
 bool IsCommitted(const State& aState, const wire::CatalogCommand& aCommand)
 {
   return aCommand.has_put_target() &&
          !catalog::IsNews(aState.mCatalog, aCommand.put_target());
 }
 
-// Operators and targets that leave wait for an end with a time limit; a target
+// Operators and leaving targets wait for the result with a time limit; a target
 // that stays announces itself again.
 bool IsUrgent(const wire::CatalogCommand& aCommand)
 {
@@ -78,8 +78,8 @@
   SendTo(aState, aTo, std::move(message), aOut);
 }
 
-// Without a leader's name, or with one that has been asked, control hosts are
-// asked in turn: one that answers names the leader.
+// If no leader is known, or the known one has been tried, control hosts are
+// asked in turn: the first that answers names the leader.
 std::string NextDestination(State& aState,
                             Micros aNow,
                             PendingCommand& aPending)
@@ -116,7 +116,8 @@
     aState.mLeaderAddress = aLeader;
   }
   aPending.mNoLeaderReplies = 0;
-  // One that was asked lately is busy, not lost: the command waits there.
+  // A leader that was asked recently is busy, not lost; the command stays with
+  // it.
   const bool isWaiting = aLeader == aPending.mTriedLeader &&
                          aNow - aPending.mTriedLeaderAt < kBusyLeaderTime;
   if (!isWaiting && ++aPending.mRedirects <= kMaxRedirects) {
@@ -169,8 +170,8 @@
   aState.mPending.erase(found);
 }
 
-// A host that follows others takes the newer policy along; at a member of the
-// group it comes with the log.
+// A follower adopts a newer policy from the reply; a member of the group
+// receives it through the log.
 void CompleteCommand(State& aState,
                      Micros aNow,
                      const wire::SubmitReply& aMessage,
@@ -193,8 +194,8 @@
   aOut.mDone.push_back(std::move(done));
 }
 
-// While the group elects a leader the next host may know it already; where none
-// does, the read is refused in place of waiting out its time.
+// During an election the next host may know the leader already; if none does,
+// the read is refused early instead of at its time limit.
 void HandleNoLeader(State& aState,
                     Micros aNow,
                     std::uint64_t aId,
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -5,31 +5,30 @@
 #include <algorithm>
 #include <limits>
 
-// How a host without a vote finds the host that it follows, keeps it and leaves
-// it. While lists of hosts differ, and where a host that had enough followers
-// referred another one, circles may come about; each reply says over which
-// hosts it came, and ends them.
+// How a host that does not vote finds, keeps and leaves its upstream. Cycles
+// can form while host lists differ and through referrals; each reply names the
+// hosts that it passed, by which a cycle is detected and left.
 namespace geraniumpond::fleet {
 
 namespace {
 
-/// Pace at which a host looks whether another upstream would be better: slow
-/// beside the announcements of a fleet that starts.
+/// Interval at which a host looks for a better upstream; long compared to the
+/// announcements of a starting fleet.
 constexpr Micros kRebalancePause = 2 * kSecond;
 /// Time for the control host of the own data centre to answer before another
-/// one is taken: a fleet that starts is some 78 askers at each, and as many
-/// snapshots.
+/// offer is accepted. In a starting fleet each control host has some 78 askers
+/// and sends as many snapshots.
 constexpr Micros kOfferWait = 150 * kMillisecond;
-/// A host that was taken has this time to answer with its catalog before
-/// another offer is taken: a snapshot on a slow link.
+/// Time for an accepted host to send its catalog before another offer is
+/// considered: a snapshot on a slow link.
 constexpr Micros kAnswerWait = 500 * kMillisecond;
-/// Pause before the next host is asked who is in touch: a few trips, so that a
-/// host that is not back yet costs its askers little; questions are answered
-/// after all else, so that those of 470 hosts delay nothing.
+/// Pause before the next host is asked: several round trips, so that a host
+/// that is still down costs its askers little. Hosts handle these questions
+/// last, so that those of 470 hosts delay nothing.
 constexpr Micros kDiscoveryStep = 30 * kMillisecond;
 
-// Where the word that the upstream passes on is old, others may be no better
-// off: it is left once another host has told a newer one.
+// If the upstream's confirmation is old, other hosts may be no better off; the
+// upstream is left only once another host has sent a newer one.
 bool IsUpstreamHealthy(const State& aState, Micros aNow)
 {
   const Micros since = aState.mUpstreamSince;
@@ -41,7 +40,7 @@
          aNow - heardAt <= kUpstreamTimeout;
 }
 
-// The control host that told the newest word is certain to be there.
+// The control host that sent the newest confirmation is certainly alive.
 std::string FallbackControl(const State& aState, Micros aNow)
 {
   const std::string& teller = aState.mConfirmedBy;
@@ -52,8 +51,8 @@
   return answers ? teller : PreferredControl(aState, aNow);
 }
 
-// A control host is certain to know more, and which of the relays are left;
-// the place in the tree is found again with the next look at it.
+// A control host certainly has newer information, and knows which relays
+// remain; the next search for a better upstream returns to the tree.
 void LeaveSilentUpstream(State& aState, Micros aNow, Output& aOut)
 {
   const std::string last = aState.mUpstream;
@@ -85,7 +84,7 @@
   SendTo(aState, aAddress, std::move(message), aOut);
 }
 
-// The upstream's numbers of changes mean nothing to another one.
+// Sequence numbers of one upstream mean nothing to another.
 wire::Follow FreshReport(const State& aState, Micros aNow)
 {
   wire::Follow follow = OwnReport(aState, aNow);
@@ -112,7 +111,7 @@
   SendReport(aState, aState.mUpstream, std::move(follow), aOut);
 }
 
-// The old upstream counts until the new one has answered.
+// The old upstream is kept until the new one has answered.
 void TryBetterUpstream(State& aState, Micros aNow, Output& aOut)
 {
   if (aNow < aState.mRebalanceAt) {
@@ -162,7 +161,7 @@
   SendReport(aState, aAddress, FreshReport(aState, aNow), aOut);
 }
 
-// The control host of the own data centre, as the group names it.
+// The control host of the own data centre, according to the group's addresses.
 std::string NearControl(const State& aState,
                         Micros aNow,
                         const wire::FollowReply& aMessage)
@@ -181,9 +180,10 @@
   return Heaviest(aState, near);
 }
 
-// FleetCounters between data centres costs, and all would follow the first host
-// that is in touch: the own data centre's control host is tried before, and
-// whoever offered itself is taken where that one does not answer.
+// Traffic between data centres is expensive, and all hosts would follow the
+// first one that is in touch. So the control host of the own data centre is
+// tried first, and the host that offered itself is accepted only if that one
+// does not answer.
 void HandleOffer(State& aState,
                  Micros aNow,
                  const std::string& aFrom,
@@ -214,16 +214,17 @@
                       Output& aOut)
 {
   const bool offers = aMessage.in_touch();
-  // Voters of a minority count themselves in touch until their leader steps
-  // down, seconds after the cut: of two that are in touch the one with the
-  // later term is followed.
+  // Voters of a minority consider themselves in touch until their leader steps
+  // down, seconds after a partition: of two hosts that are in touch, the one
+  // with the later term is followed.
   if (offers && aState.mInTouch &&
       aMessage.control_term() > aState.mMembershipVersion.mTerm) {
     AcceptOffer(aState, aNow, aFrom, aOut);
   } else if (offers && !aState.mInTouch) {
     HandleOffer(aState, aNow, aFrom, aMessage, aOut);
   }
-  // The better one cannot be followed yet; whoever could is not kept waiting.
+  // The preferred host cannot be followed yet, so the waiting offer is accepted
+  // at once.
   if (!offers && aFrom == aState.mUpstream && aState.mAcceptOfferAt != 0) {
     aState.mAcceptOfferAt = aNow;
   }
@@ -234,7 +235,7 @@
   }
 }
 
-// The asked host has enough followers; one of these takes this host.
+// The asked host has enough followers and refers this one to one of them.
 void HandleReferral(State& aState,
                     Micros aNow,
                     const std::string& aFrom,
@@ -249,8 +250,8 @@
   }
 }
 
-// Two hosts that moved at the same moment may follow each other: what they
-// tell each other of the group then comes from nobody.
+// Two hosts that moved at the same moment may follow each other; neither would
+// then receive anything from the group.
 bool IsCycle(const State& aState, const wire::FollowReply& aMessage)
 {
   const auto& route = aMessage.route();
@@ -327,8 +328,8 @@
   return follow;
 }
 
-// Those of the own data centre first, where that is known; the order of the
-// others is each host's own.
+// Asks hosts of the own data centre first, if known; the order of the others
+// differs from host to host.
 void DiscoverUpstream(State& aState, Micros aNow, Output& aOut)
 {
   if (aState.mInTouch || HasVote(aState) || aNow < aState.mDiscoverAt) {
@@ -373,9 +374,10 @@
   return next;
 }
 
-// Out of touch, all control hosts are asked whether they are in touch: half of
-// them may be cut off from the others, and all that are known may have been
-// replaced, which seeds tell. None sends its catalog before it is followed.
+// While out of touch, a host asks all control hosts and seeds whether they are
+// in touch: half of the control hosts may be cut off, or all known ones may
+// have been replaced, which the seeds can tell. None sends its catalog before
+// it is followed.
 void MaintainUpstream(State& aState, Micros aNow, Output& aOut)
 {
   const Micros heardAt = std::max(aState.mUpstreamHeardAt, aState.mConfirmedAt);
