--- a/tests/fleet_confirmation_test.cpp
+++ b/tests/fleet_confirmation_test.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// Half of what is promised: the rest is for hosts that are slower than these.
+/// Half of the guaranteed time; the rest is for hosts slower than these.
 constexpr Micros kAim = kInForceWithin / 2;
 constexpr int kMostLostControlHosts = 2;
 
 } // namespace
 
-/// \brief How old the group's word is at each host, and what that means for the
-/// time in which a change is in force.
+/// \brief Age of the group's confirmation at each host, and its effect on the
+/// time until a change is in force.
 class FleetWordTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetWordTest);
@@ -42,7 +42,7 @@
       CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
     }
     CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitLatency);
-    // Whoever is out of touch has been asking for longer.
+    // A host that is out of touch has been asking for longer.
     CPPUNIT_ASSERT(DisturbedTime(kMaxLevels, kMostLostControlHosts) <=
                    kLeaderTimeout);
   }
--- a/tests/fleet_inbox_test.cpp
+++ b/tests/fleet_inbox_test.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-/// \brief Messages that come faster than they are taken.
+/// \brief Messages that arrive faster than they are processed.
 class InboxTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(InboxTest);
@@ -99,7 +99,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(8), taken[1].submit().id());
   }
 
-  // Guards against reads and changes that wait behind a fleet's announcements.
+  // Guards against reads and changes that wait behind the announcements of a
+  // fleet's targets.
   void UrgentCommandBehindManyAnnouncementsIsTakenBeforeThem()
   {
     for (std::uint64_t id = 1; id <= 1000; ++id) {
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr int kReports = 2000;
 
-// Microseconds of processor time of a control host for a report that says
-// nothing new, in a fleet of many hosts.
+// Processor time in microseconds that a control host needs for a report without
+// news, in a fleet of many hosts.
 double WorkOfAReport(int aOthers)
 {
   fakes::FleetWorld world(7);
@@ -36,12 +36,10 @@
 
 } // namespace
 
-// What was seen: a control host among 476 hosts took 109 to 380 us of its time
-// for each report, 2,473 of them in the first seconds after a loss of power,
-// which its group's messages and its clients waited for.
-//
-// Why: each report made it look through all hosts for those whose lease had
-// ended.
+// Guards against a control host that spends 109 to 380 us on each report in a
+// fleet of 476 hosts. In the first seconds after a loss of power 2,473 reports
+// arrived, and consensus messages and clients waited for them. Each report
+// scanned all hosts for expired leases.
 class FleetWorkTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetWorkTest);
