--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -380,7 +380,7 @@
 [[nodiscard]] std::uint64_t Submit(State& aState,
                                    Micros aNow,
                                    const wire::CatalogCommand& aCommand,
-                                   Micros aPatience,
+                                   Micros aTimeout,
                                    Output& aOut);
 
 /// \brief Asks the leader for the newest policy; the completion appears in
--- a/src/fleet/confirmation.cpp
+++ b/src/fleet/confirmation.cpp
@@ -82,16 +82,18 @@
                         const std::string& aFrom,
                         const wire::FollowReply& aMessage)
 {
-  const bool old = aMessage.control_term() < aState.mMembershipVersion.mTerm;
-  const bool lacks =
+  const bool isOutdated =
+    aMessage.control_term() < aState.mMembershipVersion.mTerm;
+  const bool lacksCommands =
     !IsControlMember(aState) && aMessage.news_index() > aState.mApplied;
-  const Micros wordAt = ConfirmedAtOf(aMessage, aNow);
-  if (!aMessage.in_touch() || old || lacks || wordAt <= aState.mConfirmedAt) {
+  const Micros confirmedAt = ConfirmedAtOf(aMessage, aNow);
+  if (!aMessage.in_touch() || isOutdated || lacksCommands ||
+      confirmedAt <= aState.mConfirmedAt) {
     return false;
   }
-  aState.mConfirmedAt = wordAt;
+  aState.mConfirmedAt = confirmedAt;
   aState.mConfirmedBy = aFrom;
-  if (aNow - wordAt < kQueryAfter) {
+  if (aNow - confirmedAt < kQueryAfter) {
     aState.mConfirmationAttempts = 0;
     aState.mQueryAt = 0;
   }
--- a/src/fleet/control_addresses.cpp
+++ b/src/fleet/control_addresses.cpp
@@ -59,8 +59,8 @@
 {
   std::vector<std::string> silent;
   for (const auto& [address, host] : aState.mHosts) {
-    const bool lately = aNow - host.mHeardAt < kSilentContactTime;
-    if (lately && MayLackAddresses(aState, address, aNow)) {
+    const bool isRecent = aNow - host.mHeardAt < kSilentContactTime;
+    if (isRecent && MayLackAddresses(aState, address, aNow)) {
       silent.push_back(address);
     }
   }
@@ -111,10 +111,10 @@
     return false;
   }
   aState.mMembershipVersion = date;
-  std::vector<std::string> told(aReply.control_addresses().begin(),
-                                aReply.control_addresses().end());
-  const bool changed = told != aState.mControlAddresses;
-  aState.mControlAddresses = std::move(told);
+  std::vector<std::string> addresses(aReply.control_addresses().begin(),
+                                     aReply.control_addresses().end());
+  const bool changed = addresses != aState.mControlAddresses;
+  aState.mControlAddresses = std::move(addresses);
   return changed;
 }
 
@@ -128,10 +128,10 @@
   reply.set_brief(true);
   reply.set_data_centre(aState.mSettings.mDataCentre);
   // A learner cannot be followed; it names the voters.
-  const bool learns = IsControlMember(aState) && !HasVote(aState);
+  const bool isLearner = IsControlMember(aState) && !HasVote(aState);
   const auto& route = aState.mRoute;
-  const bool above = std::count(route.begin(), route.end(), aTo) != 0;
-  reply.set_in_touch(!learns && !above && IsInTouch(aState, aNow));
+  const bool isUpstream = std::count(route.begin(), route.end(), aTo) != 0;
+  reply.set_in_touch(!isLearner && !isUpstream && IsInTouch(aState, aNow));
   WriteControlAddresses(aState, aNow, reply);
   SendTo(aState, aTo, std::move(message), aOut);
 }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -259,18 +259,20 @@
 // would one whose leader has no quorum.
 bool IsInTouch(const State& aState, Micros aNow)
 {
-  const bool votes = HasVote(aState);
-  const bool hears = votes ? !aState.mGroup.mLeader.empty() : aState.mInTouch;
+  const bool isVoter = HasVote(aState);
+  const bool hasLeader =
+    isVoter ? !aState.mGroup.mLeader.empty() : aState.mInTouch;
   const std::optional<Micros> age = ConfirmationAge(aState, aNow);
-  return hears && age && *age < (votes ? kLeaderTimeout : kConfirmationTimeout);
+  return hasLeader && age &&
+         *age < (isVoter ? kLeaderTimeout : kConfirmationTimeout);
 }
 
 // A learner is in touch through an upstream, but its catalog comes from the
 // log, which may lag behind.
 bool HasConfirmedCatalog(const State& aState, Micros aNow)
 {
-  const bool learns = IsControlMember(aState) && !HasVote(aState);
-  return learns ? aState.mCaughtUpAt > 0 : IsInTouch(aState, aNow);
+  const bool isLearner = IsControlMember(aState) && !HasVote(aState);
+  return isLearner ? aState.mCaughtUpAt > 0 : IsInTouch(aState, aNow);
 }
 
 Micros ConfirmedAt(const State& aState, Micros aNow)
@@ -288,8 +290,9 @@
 
 std::optional<Micros> ConfirmationAge(const State& aState, Micros aNow)
 {
-  const Micros wordAt = ConfirmedAt(aState, aNow);
-  return wordAt == 0 ? std::nullopt : std::optional<Micros>(aNow - wordAt);
+  const Micros confirmedAt = ConfirmedAt(aState, aNow);
+  return confirmedAt == 0 ? std::nullopt
+                          : std::optional<Micros>(aNow - confirmedAt);
 }
 
 bool IsNear(const State& aState, const std::string& aAddress)
--- a/src/fleet/followers.cpp
+++ b/src/fleet/followers.cpp
@@ -67,15 +67,15 @@
 std::string ReferralFor(const State& aState, const Host& aAsker, Micros aNow)
 {
   std::string best;
-  std::pair<bool, std::uint64_t> most;
+  std::pair<bool, std::uint64_t> highest;
   for (const auto& [address, follower] : aState.mFollowers) {
     const bool near = follower.mHost.mDataCentre == aAsker.mDataCentre;
     const std::pair<bool, std::uint64_t> weight(
       near, Hash64(aAsker.mPeerAddress + "|" + address));
     const bool heard = aNow - follower.mHost.mHeardAt < 2 * kHostReportInterval;
-    if (heard && (best.empty() || weight > most)) {
+    if (heard && (best.empty() || weight > highest)) {
       best = address;
-      most = weight;
+      highest = weight;
     }
   }
   return best;
@@ -134,14 +134,14 @@
   if (follower.mSent >= follower.mSnapshotIndex) {
     follower.mSnapshotAt = 0;
   }
-  const bool ours =
+  const bool isSameIncarnation =
     aMessage.hosts_incarnation() == aState.mSettings.mIncarnation;
-  follower.mHostsSequence = ours ? aMessage.hosts_sequence() : 0;
+  follower.mHostsSequence = isSameIncarnation ? aMessage.hosts_sequence() : 0;
   follower.mKnownHosts.clear();
   for (const wire::HostsDigest& known : aMessage.known_hosts()) {
     follower.mKnownHosts[known.data_centre()] = known.digest();
   }
-  follower.mHostsDiffer = ours && aMessage.hosts_digest() != 0 &&
+  follower.mHostsDiffer = isSameIncarnation && aMessage.hosts_digest() != 0 &&
                           aMessage.hosts_sequence() == aState.mHostsSequence &&
                           aMessage.hosts_digest() != DigestOfAll(aState, aFrom);
   if (!CanSkipReply(aState, aNow, follower)) {
@@ -152,18 +152,18 @@
 void RecordDownstream(State& aState,
                       Micros aNow,
                       Host aHost,
-                      const std::string& aBy)
+                      const std::string& aVia)
 {
   const auto found = aState.mDownstream.find(aHost.mPeerAddress);
   const bool isKnown = found != aState.mDownstream.end();
-  const bool elsewhere = isKnown && found->second.mVia != aBy;
-  if (elsewhere &&
+  const bool isMoved = isKnown && found->second.mVia != aVia;
+  if (isMoved &&
       (aHost.mGone || found->second.mHost.mHeardAt > aHost.mHeardAt)) {
     return;
   }
   const bool same = isKnown && SameState(found->second.mHost, aHost);
   const std::string address = aHost.mPeerAddress;
-  aState.mDownstream[address] = { std::move(aHost), aBy };
+  aState.mDownstream[address] = { std::move(aHost), aVia };
   if (!same) {
     aState.mReportAt = std::min(aState.mReportAt, aNow + kForwardPause);
   }
@@ -205,9 +205,9 @@
 {
   MergeHost(aState, ReportedHost(aState, aNow, aMessage));
   for (const wire::FleetHost& follower : aMessage.followers()) {
-    Host told = FromWire(follower, aNow);
-    told.mReportedBy = aFrom;
-    MergeHost(aState, std::move(told));
+    Host reported = FromWire(follower, aNow);
+    reported.mReportedBy = aFrom;
+    MergeHost(aState, std::move(reported));
   }
   // A host at a voter's address may be a new one with an empty disk, so only
   // what it reports about itself counts.
--- a/src/fleet/hosts.cpp
+++ b/src/fleet/hosts.cpp
@@ -69,9 +69,9 @@
 // missing from the list are gone.
 int MarkUnlistedGone(State& aState, const wire::FollowReply& aMessage)
 {
-  std::set<std::string> told;
+  std::set<std::string> listed;
   for (const wire::FleetHost& host : aMessage.hosts()) {
-    told.insert(host.peer_address());
+    listed.insert(host.peer_address());
   }
   const std::set<std::string> whole(aMessage.whole_data_centres().begin(),
                                     aMessage.whole_data_centres().end());
@@ -79,7 +79,7 @@
   for (auto& [address, host] : aState.mHosts) {
     const bool covered =
       !aMessage.compared() || whole.count(host.mDataCentre) != 0;
-    if (covered && !host.mGone && told.count(address) == 0 &&
+    if (covered && !host.mGone && listed.count(address) == 0 &&
         address != aState.mSettings.mPeerAddress) {
       host.mGone = true;
       host.mSequence = ++aState.mHostsSequence;
@@ -269,9 +269,9 @@
   }
   int changes =
     aMessage.hosts_after() == 0 ? MarkUnlistedGone(aState, aMessage) : 0;
-  for (const wire::FleetHost& told : aMessage.hosts()) {
-    if (told.peer_address() != aState.mSettings.mPeerAddress) {
-      changes += ApplyHostChange(aState, FromWire(told, aNow)) ? 1 : 0;
+  for (const wire::FleetHost& host : aMessage.hosts()) {
+    if (host.peer_address() != aState.mSettings.mPeerAddress) {
+      changes += ApplyHostChange(aState, FromWire(host, aNow)) ? 1 : 0;
     }
   }
   aState.mUpstreamIncarnation = aMessage.hosts_incarnation();
@@ -283,10 +283,10 @@
           " known=" + std::to_string(aState.mHosts.size()) +
           " upstream=" + aState.mUpstream });
   }
-  const Micros wordAt = ConfirmedAtOf(aMessage, aNow);
+  const Micros confirmedAt = ConfirmedAtOf(aMessage, aNow);
   for (auto& [address, host] : aState.mHosts) {
     host.mHeardAt =
-      host.mGone ? host.mHeardAt : std::max(host.mHeardAt, wordAt);
+      host.mGone ? host.mHeardAt : std::max(host.mHeardAt, confirmedAt);
   }
   aState.mUpstreamSequence = aMessage.hosts_sequence();
   // A message from the previous upstream may have arrived after this host
@@ -305,16 +305,17 @@
   if (aHost.mReportedBy.empty()) {
     return kIndirectLease + kFailoverTime;
   }
-  const auto teller = aState.mHosts.find(aHost.mReportedBy);
-  if (teller == aState.mHosts.end() ||
-      teller->first == aState.mSettings.mPeerAddress ||
-      teller->first == aHost.mPeerAddress) {
+  const auto reporter = aState.mHosts.find(aHost.mReportedBy);
+  if (reporter == aState.mHosts.end() ||
+      reporter->first == aState.mSettings.mPeerAddress ||
+      reporter->first == aHost.mPeerAddress) {
     return kHostLease;
   }
   const Micros lease =
-    IsControlAddress(aState, teller->first) ? kIndirectLease : kHostLease;
-  const bool silent = teller->second.mGone ||
-                      aNow - teller->second.mHeardAt > 2 * kHostReportInterval;
+    IsControlAddress(aState, reporter->first) ? kIndirectLease : kHostLease;
+  const bool silent =
+    reporter->second.mGone ||
+    aNow - reporter->second.mHeardAt > 2 * kHostReportInterval;
   return silent ? lease + kFailoverTime : lease;
 }
 
@@ -325,11 +326,12 @@
   const bool all = ++aState.mReportCount % kFullReportEvery == 0;
   const std::string& self = aState.mSettings.mPeerAddress;
   for (auto& [address, host] : aState.mHosts) {
-    const bool own = host.mReportedBy == self && address != self;
-    const bool behind = own || aState.mFollowers.count(host.mReportedBy) != 0;
-    const bool news =
+    const bool isDirect = host.mReportedBy == self && address != self;
+    const bool isFollower =
+      isDirect || aState.mFollowers.count(host.mReportedBy) != 0;
+    const bool isChanged =
       host.mSequence > aState.mHostsShared || host.mReporterUnshared;
-    if (behind && (news || (all && !host.mGone))) {
+    if (isFollower && (isChanged || (all && !host.mGone))) {
       *aFollow.add_followers() = ToWire(host, aNow);
     }
     host.mReporterUnshared = false;
--- a/src/fleet/inbox.cpp
+++ b/src/fleet/inbox.cpp
@@ -99,14 +99,14 @@
 std::vector<wire::FleetMessage> Inbox::Take(std::size_t aOthers)
 {
   std::vector<wire::FleetMessage> taken;
-  const auto takeFrom = [&](std::deque<Queued>& aQueue, std::size_t aMost) {
-    const std::size_t count = std::min(aMost, aQueue.size());
+  const auto takeFrom = [&](std::deque<Queued>& aQueue, std::size_t aMax) {
+    const std::size_t count = std::min(aMax, aQueue.size());
     for (std::size_t i = 0; i < count; ++i) {
       mBytes -= aQueue.front().mBytes;
       taken.push_back(std::move(aQueue.front().mMessage));
       aQueue.pop_front();
     }
-    return aMost - count;
+    return aMax - count;
   };
   (void)takeFrom(mConsensus, mConsensus.size());
   (void)takeFrom(mUrgent, aOthers);
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -117,7 +117,7 @@
 void ChangeMembers(State& aState,
                    Micros aNow,
                    const wire::Membership& aNext,
-                   const std::string& aWhy,
+                   const std::string& aReason,
                    Output& aOut)
 {
   consensus::Output raft;
@@ -126,10 +126,11 @@
   if (!index) {
     return;
   }
-  aOut.mLogLines.push_back({ 1,
-                             "event=members_change why=" + aWhy + " voters=" +
-                               std::to_string(consensus::VoterCount(aNext)) +
-                               " index=" + std::to_string(index.value()) });
+  aOut.mLogLines.push_back(
+    { 1,
+      "event=members_change why=" + aReason +
+        " voters=" + std::to_string(consensus::VoterCount(aNext)) +
+        " index=" + std::to_string(index.value()) });
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
@@ -219,10 +220,10 @@
 
 // A replaced disk does not return; of silent hosts the one with the longest
 // silence is least likely to.
-bool IsLikelierGone(const MemberView& aView, const MemberView& aThan)
+bool IsLikelierGone(const MemberView& aView, const MemberView& aOther)
 {
   return std::make_pair(aView.mReplaced, aView.mSilent) >
-         std::make_pair(aThan.mReplaced, aThan.mSilent);
+         std::make_pair(aOther.mReplaced, aOther.mSilent);
 }
 
 // The voter that has left and is least likely to return; null if there is none.
@@ -269,13 +270,13 @@
 void DemoteVoter(State& aState,
                  Micros aNow,
                  const wire::Member& aMember,
-                 const char* aWhy,
+                 const char* aReason,
                  Output& aOut)
 {
   ChangeMembers(aState,
                 aNow,
                 WithVote(aState.mGroup.mMembership, aMember.id(), false),
-                std::string(aWhy) + " member=" + aMember.id(),
+                std::string(aReason) + " member=" + aMember.id(),
                 aOut);
 }
 
@@ -327,13 +328,14 @@
 // more may be lost, and the same holds for four, so the lost one stays as it
 // may return. Of four with one lost none may be lost, but of three one may, so
 // it is demoted.
-bool IsShrinkingWorthIt(const State& aState, int aVoters, int aLeft)
+bool IsShrinkingWorthIt(const State& aState, int aVoters, int aGone)
 {
-  const int there = aVoters - aLeft;
-  const int least = std::max(MinVoters(aState), there);
-  const int now = there - (aVoters / 2 + 1);
-  const int then = there - (least / 2 + 1);
-  return now < aState.mSettings.mToleratedLosses && then > now;
+  const int present = aVoters - aGone;
+  const int smallest = std::max(MinVoters(aState), present);
+  const int toleratedNow = present - (aVoters / 2 + 1);
+  const int toleratedThen = present - (smallest / 2 + 1);
+  return toleratedNow < aState.mSettings.mToleratedLosses &&
+         toleratedThen > toleratedNow;
 }
 
 const char* WhyGone(const MemberView& aView)
@@ -419,10 +421,10 @@
 std::string JoinFault(const wire::Member& aJoiner)
 {
   if (aJoiner.storage().empty() || aJoiner.address().empty()) {
-    return "no disk or address named";
+    return "storage id or address is missing";
   }
   if (aJoiner.id() != MemberId(aJoiner.address(), aJoiner.storage())) {
-    return "id is not of this disk and address";
+    return "id does not match storage id and address";
   }
   return "";
 }
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -131,7 +131,7 @@
                            Micros aNow,
                            const wire::CatalogCommand& aCommand,
                            std::optional<std::uint64_t> aKnownPolicy,
-                           Micros aPatience,
+                           Micros aTimeout,
                            Output& aOut)
 {
   const std::uint64_t id = ++aState.mLastSubmitId;
@@ -139,7 +139,7 @@
   pending.mCommand = aCommand.SerializeAsString();
   pending.mUrgent = IsUrgent(aCommand);
   pending.mStartedAt = aNow;
-  pending.mGiveUpAt = aNow + aPatience;
+  pending.mGiveUpAt = aNow + aTimeout;
   pending.mKnownPolicyVersion = aKnownPolicy;
   SendPending(aState, aNow, id, pending, aOut);
   return id;
@@ -214,13 +214,13 @@
 std::uint64_t Submit(State& aState,
                      Micros aNow,
                      const wire::CatalogCommand& aCommand,
-                     Micros aPatience,
+                     Micros aTimeout,
                      Output& aOut)
 {
   const auto known = aCommand.has_read_barrier()
                        ? std::optional(aState.mCatalog.mVersion)
                        : std::nullopt;
-  return StartCommand(aState, aNow, aCommand, known, aPatience, aOut);
+  return StartCommand(aState, aNow, aCommand, known, aTimeout, aOut);
 }
 
 std::uint64_t Read(State& aState,
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -43,12 +43,12 @@
 // The control host that sent the newest confirmation is certainly alive.
 std::string FallbackControl(const State& aState, Micros aNow)
 {
-  const std::string& teller = aState.mConfirmedBy;
-  const bool answers = teller != aState.mUpstream &&
-                       IsControlAddress(aState, teller) &&
-                       !IsSuspect(aState, teller, aNow) &&
+  const std::string& sender = aState.mConfirmedBy;
+  const bool isAlive = sender != aState.mUpstream &&
+                       IsControlAddress(aState, sender) &&
+                       !IsSuspect(aState, sender, aNow) &&
                        aNow - aState.mConfirmedAt < kUpstreamTimeout;
-  return answers ? teller : PreferredControl(aState, aNow);
+  return isAlive ? sender : PreferredControl(aState, aNow);
 }
 
 // A control host certainly has newer information, and knows which relays
@@ -190,10 +190,11 @@
                  const wire::FollowReply& aMessage,
                  Output& aOut)
 {
-  const bool old = aMessage.control_term() < aState.mMembershipVersion.mTerm;
-  const bool waits = aState.mOfferAcceptedAt != 0 &&
-                     aNow - aState.mOfferAcceptedAt < kAnswerWait;
-  if (old || waits) {
+  const bool isOutdated =
+    aMessage.control_term() < aState.mMembershipVersion.mTerm;
+  const bool isWaiting = aState.mOfferAcceptedAt != 0 &&
+                         aNow - aState.mOfferAcceptedAt < kAnswerWait;
+  if (isOutdated || isWaiting) {
     return;
   }
   const std::string near = NearControl(aState, aNow, aMessage);
@@ -276,10 +277,13 @@
   (void)MergeControlAddresses(aState, aMessage);
 }
 
-void UpdateFollowers(State& aState, Micros aNow, bool aNewerWord, Output& aOut)
+void UpdateFollowers(State& aState,
+                     Micros aNow,
+                     bool aNewerConfirmation,
+                     Output& aOut)
 {
   PushIfNeeded(aState, aNow, aOut);
-  if (aNewerWord) {
+  if (aNewerConfirmation) {
     ForwardConfirmation(aState, aNow, aOut);
   }
 }
--- a/tests/fleet_confirmation_test.cpp
+++ b/tests/fleet_confirmation_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 /// Half of the guaranteed time; the rest is for hosts slower than these.
-constexpr Micros kAim = kInForceWithin / 2;
-constexpr int kMostLostControlHosts = 2;
+constexpr Micros kTestLimit = kInForceWithin / 2;
+constexpr int kMaxLostControlHosts = 2;
 
 } // namespace
 
@@ -38,12 +38,12 @@
   {
     CPPUNIT_ASSERT(UsualConfirmationAge() < kQueryAfter);
     for (int level = 1; level <= kMaxLevels; ++level) {
-      CPPUNIT_ASSERT(UndisturbedTime(level) <= kAim);
-      CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
+      CPPUNIT_ASSERT(UndisturbedTime(level) <= kTestLimit);
+      CPPUNIT_ASSERT(DisturbedTime(level, kMaxLostControlHosts) <= kTestLimit);
     }
     CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitLatency);
     // A host that is out of touch has been asking for longer.
-    CPPUNIT_ASSERT(DisturbedTime(kMaxLevels, kMostLostControlHosts) <=
+    CPPUNIT_ASSERT(DisturbedTime(kMaxLevels, kMaxLostControlHosts) <=
                    kLeaderTimeout);
   }
 
@@ -71,19 +71,20 @@
     const std::string leader = mWorld.Leader();
     std::vector<std::string> voters = mWorld.VoterAddresses();
     voters.erase(std::find(voters.begin(), voters.end(), leader));
-    const std::string with = voters.front();
+    const std::string follower = voters.front();
     mWorld.mLose = [&](const fakes::Sent& aSent) {
       const auto isMinority = [&](const std::string& aAddress) {
-        return aAddress == leader || aAddress == with;
+        return aAddress == leader || aAddress == follower;
       };
       return isMinority(aSent.mFrom) != isMinority(aSent.mTo);
     };
     const Micros cutAt = mWorld.mNow;
     mWorld.Advance(kLeaderTimeout);
-    const Micros wordAt = ConfirmedAt(mWorld.Node(with).mState, mWorld.mNow);
-    CPPUNIT_ASSERT(wordAt <= cutAt + kCommitLatency);
+    const Micros confirmedAt =
+      ConfirmedAt(mWorld.Node(follower).mState, mWorld.mNow);
+    CPPUNIT_ASSERT(confirmedAt <= cutAt + kCommitLatency);
     mWorld.Advance(kCommitLatency);
-    CPPUNIT_ASSERT(!IsInTouch(mWorld.Node(with).mState, mWorld.mNow));
+    CPPUNIT_ASSERT(!IsInTouch(mWorld.Node(follower).mState, mWorld.mNow));
   }
 
   void ChangesAreInForceInHalfOfThePromiseWhateverHostsMeet()
@@ -101,7 +102,7 @@
             ToString(trouble) + std::string(" ") + std::to_string(percent) +
               " % of " + std::to_string(others) + ": " +
               std::to_string(times.mSlowest / kMillisecond) + " ms",
-            times.mSlowest <= kAim);
+            times.mSlowest <= kTestLimit);
         }
       }
     }
@@ -113,11 +114,11 @@
     mWorld.mLose = [](const fakes::Sent& aSent) {
       return aSent.mMessage.has_consensus();
     };
-    const Micros away = 6 * kSecond;
-    mWorld.Advance(away);
-    const auto most = static_cast<std::uint64_t>(94 * 6);
+    const Micros outage = 6 * kSecond;
+    mWorld.Advance(outage);
+    const auto maxQueries = static_cast<std::uint64_t>(94 * 6);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(mWorld.WordsAsked()),
-                           mWorld.WordsAsked() <= most);
+                           mWorld.WordsAsked() <= maxQueries);
   }
 
 private:
