--- a/src/fleet/timing.h
+++ b/src/fleet/timing.h
@@ -72,7 +72,7 @@
 // --- sums
 
 /// \brief Longest propagation time to a tree level without failures.
-constexpr Micros UndisturbedTime(int aLevel) noexcept
+constexpr Micros PropagationTime(int aLevel) noexcept
 {
   return kCommitLatency + aLevel * kPushPause;
 }
@@ -85,7 +85,8 @@
 
 /// \brief Longest propagation time to a host of a tree level whose upstreams
 /// fell silent, if some of the control hosts that it queries are lost.
-constexpr Micros DisturbedTime(int aLevel, int aLostControlHosts) noexcept
+constexpr Micros PropagationTimeWithFailures(int aLevel,
+                                             int aLostControlHosts) noexcept
 {
   Micros time = kQueryAfter + aLevel * kQueryStagger;
   for (int i = 0; i < aLostControlHosts; ++i) {
--- a/tests/fleet_confirmation_test.cpp
+++ b/tests/fleet_confirmation_test.cpp
@@ -38,13 +38,14 @@
   {
     CPPUNIT_ASSERT(UsualConfirmationAge() < kQueryAfter);
     for (int level = 1; level <= kMaxLevels; ++level) {
-      CPPUNIT_ASSERT(UndisturbedTime(level) <= kTestLimit);
-      CPPUNIT_ASSERT(DisturbedTime(level, kMaxLostControlHosts) <= kTestLimit);
+      CPPUNIT_ASSERT(PropagationTime(level) <= kTestLimit);
+      CPPUNIT_ASSERT(PropagationTimeWithFailures(level, kMaxLostControlHosts) <=
+                     kTestLimit);
     }
     CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitLatency);
     // A host that is out of touch has been asking for longer.
-    CPPUNIT_ASSERT(DisturbedTime(kMaxLevels, kMaxLostControlHosts) <=
-                   kLeaderTimeout);
+    CPPUNIT_ASSERT(PropagationTimeWithFailures(
+                     kMaxLevels, kMaxLostControlHosts) <= kLeaderTimeout);
   }
 
   void WordIsNotOldAtAnyLevelOfACalmFleet()
