--- a/tests/fleet_confirmation_test.cpp
+++ b/tests/fleet_confirmation_test.cpp
@@ -23,18 +23,18 @@
 
 /// \brief Age of the group's confirmation at each host, and its effect on the
 /// time until a change is in force.
-class FleetWordTest : public CppUnit::TestFixture
+class FleetConfirmationTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(FleetWordTest);
-  CPPUNIT_TEST(WaitsOnTheWayAddUpToHalfOfThePromise);
-  CPPUNIT_TEST(WordIsNotOldAtAnyLevelOfACalmFleet);
-  CPPUNIT_TEST(VoterWhoseLeaderHearsNoQuorumHasAnOldWord);
-  CPPUNIT_TEST(ChangesAreInForceInHalfOfThePromiseWhateverHostsMeet);
-  CPPUNIT_TEST(QuestionsForTheWordAreFewWhileTheGroupHasNoLeader);
+  CPPUNIT_TEST_SUITE(FleetConfirmationTest);
+  CPPUNIT_TEST(PropagationTakesAtMostHalfOfTheGuaranteedTime);
+  CPPUNIT_TEST(ConfirmationIsRecentAtEveryLevelWithoutFailures);
+  CPPUNIT_TEST(VoterWhoseLeaderHasNoQuorumHasAnOldConfirmation);
+  CPPUNIT_TEST(ChangesAreInForceInHalfOfTheGuaranteedTimeDespiteFailures);
+  CPPUNIT_TEST(ConfirmationQueriesAreFewWhileTheGroupHasNoLeader);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void WaitsOnTheWayAddUpToHalfOfThePromise()
+  void PropagationTakesAtMostHalfOfTheGuaranteedTime()
   {
     CPPUNIT_ASSERT(UsualConfirmationAge() < kQueryAfter);
     for (int level = 1; level <= kMaxLevels; ++level) {
@@ -48,7 +48,7 @@
                      kMaxLevels, kMaxLostControlHosts) <= kLeaderTimeout);
   }
 
-  void WordIsNotOldAtAnyLevelOfACalmFleet()
+  void ConfirmationIsRecentAtEveryLevelWithoutFailures()
   {
     for (const int dataCentres : { 3, 1 }) {
       Begin(dataCentres, 200);
@@ -66,7 +66,7 @@
     }
   }
 
-  void VoterWhoseLeaderHearsNoQuorumHasAnOldWord()
+  void VoterWhoseLeaderHasNoQuorumHasAnOldConfirmation()
   {
     Begin(5, 0);
     const std::string leader = mWorld.Leader();
@@ -88,7 +88,7 @@
     CPPUNIT_ASSERT(!IsInTouch(mWorld.Node(follower).mState, mWorld.mNow));
   }
 
-  void ChangesAreInForceInHalfOfThePromiseWhateverHostsMeet()
+  void ChangesAreInForceInHalfOfTheGuaranteedTimeDespiteFailures()
   {
     for (const int dataCentres : { 3, 1 }) {
       for (const HostTrouble trouble : { HostTrouble::None,
@@ -109,7 +109,7 @@
     }
   }
 
-  void QuestionsForTheWordAreFewWhileTheGroupHasNoLeader()
+  void ConfirmationQueriesAreFewWhileTheGroupHasNoLeader()
   {
     Begin(3, 94);
     mWorld.mLose = [](const fakes::Sent& aSent) {
@@ -139,6 +139,6 @@
   std::mt19937_64 mRandom{ 36 };
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetWordTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetConfirmationTest);
 
 } // namespace geraniumpond::fleet
