--- a/tests/fleet_inbox_test.cpp
+++ b/tests/fleet_inbox_test.cpp
@@ -38,11 +38,11 @@
 {
   CPPUNIT_TEST_SUITE(InboxTest);
   CPPUNIT_TEST(ConsensusBehindManyReportsIsTakenFirst);
-  CPPUNIT_TEST(ReportOfAHostThatStillWaitsIsReplaced);
+  CPPUNIT_TEST(QueuedReportIsReplacedByALaterOne);
   CPPUNIT_TEST(ReportThatAsksForAllHostsIsKept);
-  CPPUNIT_TEST(CommandThatWasSentAgainWaitsOnce);
+  CPPUNIT_TEST(RepeatedCommandIsQueuedOnce);
   CPPUNIT_TEST(UrgentCommandBehindManyAnnouncementsIsTakenBeforeThem);
-  CPPUNIT_TEST(ManyUrgentCommandsLeaveTheOthersTheirTurn);
+  CPPUNIT_TEST(ManyUrgentCommandsDoNotStarveOthers);
   CPPUNIT_TEST(FullInboxDropsAndCounts);
   CPPUNIT_TEST(UnreadableMessageIsRefused);
   CPPUNIT_TEST_SUITE_END();
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(460), mInbox.Waiting());
   }
 
-  void ReportOfAHostThatStillWaitsIsReplaced()
+  void QueuedReportIsReplacedByALaterOne()
   {
     CPPUNIT_ASSERT(mInbox.Put(ReportOf("one", 1)));
     CPPUNIT_ASSERT(mInbox.Put(ReportOf("two", 1)));
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), mInbox.Waiting());
   }
 
-  void CommandThatWasSentAgainWaitsOnce()
+  void RepeatedCommandIsQueuedOnce()
   {
     wire::FleetMessage command;
     command.set_from_address("one");
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), taken[2].submit().id());
   }
 
-  void ManyUrgentCommandsLeaveTheOthersTheirTurn()
+  void ManyUrgentCommandsDoNotStarveOthers()
   {
     for (std::uint64_t id = 1; id <= 100; ++id) {
       CPPUNIT_ASSERT(mInbox.Put(CommandOf("host", id, true)));
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -16,7 +16,7 @@
 
 // Processor time in microseconds that a control host needs for a report without
 // news, in a fleet of many hosts.
-double WorkOfAReport(int aOthers)
+double ReportCost(int aOthers)
 {
   fakes::FleetWorld world(7);
   world.FoundSpread(6, aOthers, 2);
@@ -43,14 +43,14 @@
 class FleetWorkTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetWorkTest);
-  CPPUNIT_TEST(WorkOfAReportHardlyGrowsWithTheHosts);
+  CPPUNIT_TEST(ReportCostHardlyGrowsWithTheFleet);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void WorkOfAReportHardlyGrowsWithTheHosts()
+  void ReportCostHardlyGrowsWithTheFleet()
   {
-    const double few = WorkOfAReport(47);
-    const double many = WorkOfAReport(470);
+    const double few = ReportCost(47);
+    const double many = ReportCost(470);
     CPPUNIT_ASSERT_MESSAGE(
       std::to_string(many) + " us of " + std::to_string(few), many < 3 * few);
   }
