--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -287,7 +287,7 @@
   /// Addresses of the control group; the seeds until its members are known.
   std::vector<std::string> mControlAddresses;
   MembershipVersion mMembershipVersion;
-  /// Index of the silent host contacted next.
+  /// Counts the silent hosts contacted, which are taken in turn.
   std::size_t mSilentHostCursor = 0;
   bool mWasInTouch = false;
   std::string mUpstream;
