--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -244,9 +244,9 @@
   std::uint64_t mApplied = 0;
 
   /// Committed commands that followers may lack, oldest first.
-  std::deque<wire::CommittedCommand> mRecent;
+  std::deque<wire::CommittedCommand> mRecentCommands;
   std::uint64_t mRecentBytes = 0;
-  /// Commands up to this index have been dropped from mRecent.
+  /// Commands up to this index have been dropped from mRecentCommands.
   std::uint64_t mRecentBase = 0;
   std::uint64_t mLogBytes = 0;
 
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -45,7 +45,7 @@
 {
   aState.mApplied = aSnapshot.index();
   aState.mRecentBase = aSnapshot.index();
-  aState.mRecent.clear();
+  aState.mRecentCommands.clear();
   aState.mRecentBytes = 0;
   if (aSnapshot.state().empty()) {
     return;
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -83,8 +83,8 @@
 // to followers.
 std::uint64_t LastCommandIndex(const State& aState)
 {
-  return aState.mRecent.empty() ? aState.mRecentBase
-                                : aState.mRecent.back().index();
+  return aState.mRecentCommands.empty() ? aState.mRecentBase
+                                        : aState.mRecentCommands.back().index();
 }
 
 void FillCommands(State& aState,
@@ -98,13 +98,14 @@
     return;
   }
   const auto first = std::upper_bound(
-    aState.mRecent.begin(),
-    aState.mRecent.end(),
+    aState.mRecentCommands.begin(),
+    aState.mRecentCommands.end(),
     from,
     [](std::uint64_t aIndex, const wire::CommittedCommand& aCommand) {
       return aIndex < aCommand.index();
     });
-  const auto count = static_cast<std::size_t>(aState.mRecent.end() - first);
+  const auto count =
+    static_cast<std::size_t>(aState.mRecentCommands.end() - first);
   if (from < aState.mRecentBase ||
       (aFollower.mCompact && count > kMaxCommands)) {
     FillSnapshot(aState, aNow, aFollower, aReply);
@@ -114,7 +115,7 @@
   aFollower.mPolicySent = aState.mCatalog.mVersion;
   aReply.set_commands_after(from);
   aState.mCounters.mCommandsSent += count;
-  for (auto it = first; it != aState.mRecent.end(); ++it) {
+  for (auto it = first; it != aState.mRecentCommands.end(); ++it) {
     *aReply.add_commands() = *it;
   }
 }
@@ -187,13 +188,13 @@
   command.set_index(aIndex);
   command.set_command(aCommand);
   aState.mRecentBytes += aCommand.size();
-  aState.mRecent.push_back(std::move(command));
-  while (aState.mRecent.size() > 1 &&
-         (aState.mRecent.size() > kRecentCommands ||
+  aState.mRecentCommands.push_back(std::move(command));
+  while (aState.mRecentCommands.size() > 1 &&
+         (aState.mRecentCommands.size() > kRecentCommands ||
           aState.mRecentBytes > kRecentBytes)) {
-    aState.mRecentBytes -= aState.mRecent.front().command().size();
-    aState.mRecentBase = aState.mRecent.front().index();
-    aState.mRecent.pop_front();
+    aState.mRecentBytes -= aState.mRecentCommands.front().command().size();
+    aState.mRecentBase = aState.mRecentCommands.front().index();
+    aState.mRecentCommands.pop_front();
   }
 }
 
--- a/src/fleet/reply_commands.cpp
+++ b/src/fleet/reply_commands.cpp
@@ -35,7 +35,7 @@
   (void)catalog::TakePolicy(aState.mCatalog, known);
   aState.mApplied = aMessage.snapshot_index();
   aState.mRecentBase = aState.mApplied;
-  aState.mRecent.clear();
+  aState.mRecentCommands.clear();
   aState.mRecentBytes = 0;
   aOut.mPolicyChanged = true;
   aOut.mTargetsChanged = true;
@@ -77,7 +77,7 @@
   }
   // Only a relay needs to keep the commands.
   if (aState.mFollowers.empty()) {
-    aState.mRecent.clear();
+    aState.mRecentCommands.clear();
     aState.mRecentBytes = 0;
     aState.mRecentBase = aState.mApplied;
   }
