--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -408,7 +408,7 @@
                                                   Micros aNow);
 
 /// \brief Hosts considered alive, including this one; at least 1.
-[[nodiscard]] int LiveHosts(const State& aState, Micros aNow);
+[[nodiscard]] int LiveHostCount(const State& aState, Micros aNow);
 
 /// \brief True while confirmations of the control group's leader arrive
 /// recently enough, directly or through other hosts.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -244,7 +244,7 @@
   return hosts;
 }
 
-int LiveHosts(const State& aState, Micros aNow)
+int LiveHostCount(const State& aState, Micros aNow)
 {
   const auto live =
     std::count_if(aState.mHosts.begin(),
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -216,7 +216,7 @@
   state.mHostsCountedAt = aContext.mNow;
   state.mDispatch.mKnowsHosts = aContext.mNow >= state.mStartedAt + kLearnHosts;
   CountSharers(aContext);
-  const int hosts = fleet::LiveHosts(state.mFleet, aContext.mNow);
+  const int hosts = fleet::LiveHostCount(state.mFleet, aContext.mNow);
   const Micros window = state.mSettings.mBounds.mExtraWindow;
   if (hosts >= state.mDispatch.mHosts) {
     state.mMostHostsAt = aContext.mNow;
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -58,7 +58,7 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t(kTargets),
                            state.mCatalog.mTargets.size());
       CPPUNIT_ASSERT_EQUAL(kDataCentres + kOthers,
-                           LiveHosts(state, mWorld.mNow));
+                           LiveHostCount(state, mWorld.mNow));
       CPPUNIT_ASSERT_MESSAGE(address, state.mFollowers.size() <= 20);
     }
   }
@@ -158,7 +158,9 @@
     for (const std::string& address : mWorld.Addresses()) {
       if (lost.count(address) == 0) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          address, left, LiveHosts(mWorld.Node(address).mState, mWorld.mNow));
+          address,
+          left,
+          LiveHostCount(mWorld.Node(address).mState, mWorld.mNow));
       }
     }
     for (const std::string& address : lost) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -531,7 +531,7 @@
     CPPUNIT_ASSERT(mWorld.Until(20 * kSecond, [&] {
       const std::vector<std::string> all = mWorld.Addresses();
       return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
-        return LiveHosts(mWorld.Node(aAddress).mState, mWorld.mNow) == 16;
+        return LiveHostCount(mWorld.Node(aAddress).mState, mWorld.mNow) == 16;
       });
     }));
   }
@@ -544,7 +544,7 @@
     mWorld.Advance(8 * kSecond);
     for (const std::string& address : mWorld.Addresses()) {
       CPPUNIT_ASSERT_MESSAGE(
-        address, LiveHosts(mWorld.Node(address).mState, mWorld.mNow) >= 8);
+        address, LiveHostCount(mWorld.Node(address).mState, mWorld.mNow) >= 8);
     }
   }
 
@@ -565,7 +565,7 @@
             dead + " lost, seen at " + address + " after " +
               std::to_string(step * 10) + " ms",
             address == dead ||
-              LiveHosts(mWorld.Node(address).mState, mWorld.mNow) >= 14);
+              LiveHostCount(mWorld.Node(address).mState, mWorld.mNow) >= 14);
         }
       }
     }
