--- a/include/geraniumpond/fleet.h
+++ b/include/geraniumpond/fleet.h
@@ -430,7 +430,8 @@
 [[nodiscard]] GroupHealth HealthOf(const State& aState, Micros aNow);
 
 /// \brief True for the address of a known host in the same data centre.
-[[nodiscard]] bool IsNear(const State& aState, const std::string& aAddress);
+[[nodiscard]] bool IsInOwnDataCentre(const State& aState,
+                                     const std::string& aAddress);
 
 /// \brief Lower-case name of a message's kind.
 [[nodiscard]] const char* KindOf(const wire::FleetMessage& aMessage) noexcept;
--- a/src/fleet/confirmation.cpp
+++ b/src/fleet/confirmation.cpp
@@ -23,7 +23,7 @@
       continue;
     }
     const int place = (IsSuspect(aState, address, aNow) ? 2 : 0) +
-                      (IsNear(aState, address) ? 0 : 1);
+                      (IsInOwnDataCentre(aState, address) ? 0 : 1);
     ordered.push_back({ { place, Weight(aState, address) }, address });
   }
   std::sort(ordered.begin(), ordered.end());
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -295,7 +295,7 @@
                           : std::optional<Micros>(aNow - confirmedAt);
 }
 
-bool IsNear(const State& aState, const std::string& aAddress)
+bool IsInOwnDataCentre(const State& aState, const std::string& aAddress)
 {
   const auto found = aState.mHosts.find(aAddress);
   return found != aState.mHosts.end() &&
--- a/src/fleet/preferred_upstream.cpp
+++ b/src/fleet/preferred_upstream.cpp
@@ -92,7 +92,7 @@
       continue;
     }
     all.push_back(address);
-    if (IsNear(aState, address)) {
+    if (IsInOwnDataCentre(aState, address)) {
       near.push_back(address);
     }
   }
--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -344,7 +344,7 @@
   for (const std::string& address : ControlAndSeeds(aState)) {
     if (aState.mDiscoveryAsked.count(address) == 0 &&
         address != aState.mSettings.mPeerAddress) {
-      (IsNear(aState, address) ? near : others).push_back(address);
+      (IsInOwnDataCentre(aState, address) ? near : others).push_back(address);
     }
   }
   const std::string next = Heaviest(aState, near.empty() ? others : near);
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -132,7 +132,7 @@
 void GatewayProcess::PerformOne(gateway::SendPeer& aEffect)
 {
   std::string bytes = aEffect.mMessage.SerializeAsString();
-  const bool near = fleet::IsNear(mState.mFleet, aEffect.mAddress);
+  const bool near = fleet::IsInOwnDataCentre(mState.mFleet, aEffect.mAddress);
   const std::string name = std::string("peer_") +
                            fleet::KindOf(aEffect.mMessage) +
                            (near ? "_near" : "_away");
