--- a/src/fleet/upstream.cpp
+++ b/src/fleet/upstream.cpp
@@ -53,7 +53,7 @@
 
 // A control host certainly has newer information, and knows which relays
 // remain; the next search for a better upstream returns to the tree.
-void LeaveSilentUpstream(State& aState, Micros aNow, Output& aOut)
+void LeaveUpstream(State& aState, Micros aNow, Output& aOut)
 {
   const std::string last = aState.mUpstream;
   MarkSuspect(aState, last, aNow);
@@ -393,7 +393,7 @@
     return;
   }
   if (!IsUpstreamHealthy(aState, aNow)) {
-    LeaveSilentUpstream(aState, aNow, aOut);
+    LeaveUpstream(aState, aNow, aOut);
   }
   ReportToUpstream(aState, aNow, aOut);
   TryBetterUpstream(aState, aNow, aOut);
@@ -451,7 +451,7 @@
     SetUpstream(aState, aFrom, aNow);
   }
   if (aFrom == aState.mUpstream && IsCycle(aState, aMessage)) {
-    LeaveSilentUpstream(aState, aNow, aOut);
+    LeaveUpstream(aState, aNow, aOut);
     ReportToUpstream(aState, aNow, aOut);
   } else if (aFrom == aState.mUpstream) {
     UpdateFromUpstream(aState, aNow, aMessage, aOut);
