--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -13,17 +13,17 @@
 
 #include "impl/wire.h"
 
-/// \brief A replicated log after Raft (Ongaro and Ousterhout, 2014), with
-/// pre-vote, check-quorum, learners, single-step membership changes,
+/// \brief A replicated log that implements Raft (Ongaro and Ousterhout, 2014),
+/// with pre-vote, check-quorum, learners, single-server membership changes,
 /// leadership transfer and snapshots.
 ///
 /// A plain struct and free functions: no clock, thread, socket or file. The
-/// embedder passes time and random words in, writes what Output asks it to
-/// write, and calls Synced() when that is on disk. Messages that promise
-/// durability are held back until then.
+/// embedder passes in the time and random numbers, performs the writes in
+/// Output, and calls Synced() once they are on disk. Messages that promise
+/// durability are deferred until then.
 namespace geraniumpond::consensus {
 
-/// \brief What a member is doing.
+/// \brief Raft role of a member.
 enum class Role
 {
   Learner,
@@ -36,72 +36,71 @@
 /// \brief Lower-case name of a role.
 [[nodiscard]] const char* ToString(Role aRole) noexcept;
 
-/// \brief Timing and sizes; times are in microseconds.
+/// \brief Timeouts and size limits.
 struct Rules
 {
   Micros mHeartbeat = 150 * kMillisecond;
   Micros mElectionMin = 600 * kMillisecond;
   Micros mElectionMax = 1200 * kMillisecond;
-  /// Divides the timeout of members that have heard no leader yet, for as long
-  /// as mFirstTime after their start; halves with each of their elections that
-  /// ends without one.
+  /// Divisor of the election timeout during mFirstTime after a start, until the
+  /// member first hears from a leader; halved with each election it starts.
   Micros mFirstDivisor = 1;
   Micros mFirstTime = 2 * kSecond;
-  /// Commands proposed within this time of the last message to all members go
-  /// out together.
+  /// Minimum interval between broadcasts of proposed commands; those proposed
+  /// within it are sent as one batch.
   Micros mBatchPause = 0;
-  /// Reads that come within this time of the last LeaderCheck wait for the next
-  /// one together.
+  /// Minimum interval between two LeaderCheck rounds; reads requested within it
+  /// share the next round.
   Micros mCheckPause = 50 * kMillisecond;
   std::size_t mEntriesPerMessage = 256;
-  /// Applied entries that make the embedder want a snapshot.
+  /// Entries applied since the last snapshot that make the next one due.
   std::size_t mSnapshotEvery = 1000;
-  /// Entries kept behind a snapshot for followers that are a little behind.
+  /// Log entries kept before a snapshot, for followers that lag slightly.
   std::size_t mRetained = 200;
 };
 
-/// \brief What the leader knows of one member.
+/// \brief Replication progress of one member, as tracked by the leader.
 struct Progress
 {
   std::uint64_t mMatch = 0;
   std::uint64_t mNext = 1;
-  /// Since when this leader knows it; its answers count from then on.
+  /// When this leader began to track it; mHeardAt starts at this time too.
   Micros mKnownSince = 0;
   Micros mHeardAt = 0;
   Micros mSentAt = 0;
-  /// Last round that it has answered.
+  /// Latest round that it has answered.
   std::uint64_t mRound = 0;
   bool mSnapshotSent = false;
 };
 
-/// \brief A write that must reach the disk, in order of sequence.
+/// \brief A write to the log file; writes are performed in sequence order.
 struct Write
 {
   std::uint64_t mSequence = 0;
   std::vector<wire::LogRecord> mRecords;
   std::optional<wire::Snapshot> mSnapshot;
-  /// With a snapshot: everything that the new log file holds.
+  /// With a snapshot: the records that the new log file starts with.
   std::vector<wire::LogRecord> mRetained;
 };
 
-/// \brief What a call asks its embedder to do.
+/// \brief Actions that a call asks the embedder to perform.
 struct Output
 {
   std::vector<wire::ConsensusMessage> mMessages;
   std::vector<Write> mWrites;
   std::vector<wire::Entry> mCommitted;
-  /// A snapshot from the leader that replaces the embedder's state.
+  /// Snapshot from the leader that replaces the embedder's state.
   std::optional<wire::Snapshot> mInstall;
 };
 
-/// \brief A message held back until a write is on disk.
+/// \brief A message deferred until a write is on disk.
 struct Held
 {
   std::uint64_t mAfter = 0;
   wire::ConsensusMessage mMessage;
 };
 
-/// \brief The whole state of one member.
+/// \brief State of one member.
 struct State
 {
   std::string mId;
@@ -121,39 +120,41 @@
   std::string mLeader;
   Micros mElectionAt = 0;
   Micros mHeartbeatAt = 0;
-  /// When all members were last sent something.
+  /// Time of the last broadcast to all members.
   Micros mBroadcastAt = 0;
   Micros mHeardLeaderAt = 0;
   Micros mOpenedAt = 0;
-  /// Elections begun since the start.
+  /// Elections started since the process started.
   int mElections = 0;
-  /// At others than the leader: when the leader's last word was given.
+  /// On followers and learners: when the leader last had its leadership
+  /// confirmed by a quorum, by this member's clock.
   Micros mWordAt = 0;
-  /// What the leader had committed when it was last heard.
+  /// Commit index in the last append request from the leader.
   std::uint64_t mLeaderCommit = 0;
   std::set<std::string> mVotes;
   std::map<std::string, Progress> mProgress;
   std::uint64_t mRound = 0;
-  /// Round of the last LeaderCheck, and the one that reads wait for; 0 for
-  /// none.
+  /// Round of the last LeaderCheck.
   std::uint64_t mCheckRound = 0;
   Micros mCheckedAt = 0;
+  /// Round that pending reads wait for; 0 for none.
   std::uint64_t mReadRound = 0;
+  /// Index of the first entry of this leader's term.
   std::uint64_t mTermStart = 0;
   std::string mTransferTo;
   Micros mTransferUntil = 0;
 
   std::uint64_t mWriteSequence = 0;
   std::uint64_t mSyncedSequence = 0;
-  /// Highest index that the own disk has, by write sequence.
+  /// Pending writes: sequence, and last log index once it is on disk.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnsynced;
   std::uint64_t mSyncedIndex = 0;
   std::deque<Held> mHeld;
-  /// Set when a write failed: this member neither votes nor acknowledges.
+  /// A write has failed: this member neither votes nor acknowledges entries.
   bool mFailed = false;
 };
 
-/// \brief What was read back from disk at a start.
+/// \brief Persistent state read from disk at startup.
 struct Recovered
 {
   wire::HardState mHard;
@@ -161,75 +162,79 @@
   std::vector<wire::Entry> mEntries;
 };
 
-/// \brief Makes a member from what its disk holds.
+/// \brief Restores a member from its persistent state.
 [[nodiscard]] State Open(const std::string& aId,
                          const Recovered& aRecovered,
                          Micros aNow,
                          std::uint64_t aRandom);
 
-/// \brief Lets time pass; cheap when nothing is due.
+/// \brief Processes timeouts; cheap when none is due.
 void Tick(State& aState, Micros aNow, std::uint64_t aRandom, Output& aOut);
 
-/// \brief Takes a message from another member.
+/// \brief Processes a message from another member.
 void Receive(State& aState,
              Micros aNow,
              std::uint64_t aRandom,
              const wire::ConsensusMessage& aMessage,
              Output& aOut);
 
-/// \brief Appends a command at the leader; its index, or NotLeader.
+/// \brief Appends a command to the leader's log.
+/// \return The index of its entry, or NotLeader.
 [[nodiscard]] Result<std::uint64_t> Propose(State& aState,
                                             Micros aNow,
                                             std::string aCommand,
                                             Output& aOut);
 
-/// \brief At the leader: asks the others whether it still leads. The round to
-/// wait for with IsReadConfirmed().
+/// \brief On the leader: starts to confirm its leadership for a linearizable
+/// read.
+/// \return The round to pass to IsReadConfirmed().
 [[nodiscard]] std::uint64_t RequestRead(State& aState,
                                         Micros aNow,
                                         Output& aOut);
 
-/// \brief True once a quorum has answered a round: what this member has applied
-/// holds all that was committed when the read was requested.
+/// \brief True once a quorum has answered a round: the applied state then
+/// includes every entry that was committed when the read was requested.
 [[nodiscard]] bool IsReadConfirmed(const State& aState, std::uint64_t aRound);
 
-/// \brief Changes the members by one voter at most; Conflict while an earlier
-/// change is not yet committed.
+/// \brief Proposes a membership that differs by one voter at most; Conflict
+/// while an earlier change is uncommitted.
 [[nodiscard]] Result<std::uint64_t> ChangeMembership(
   State& aState,
   Micros aNow,
   const wire::Membership& aNext,
   Output& aOut);
 
-/// \brief Hands leadership to the most advanced voter of those that are not
-/// excepted.
+/// \brief Transfers leadership to the most up-to-date reachable voter that is
+/// not in `aExcept`.
 void Transfer(State& aState,
               Micros aNow,
               Output& aOut,
               const std::set<std::string>& aExcept = {});
 
-/// \brief Notes that all writes up to a sequence are on disk.
+/// \brief Reports that all writes up to a sequence are on disk.
 void Synced(State& aState, std::uint64_t aSequence, Output& aOut);
 
-/// \brief Notes that the disk failed; the member stays silent from now on.
+/// \brief Reports a disk failure; the member sends nothing from then on.
 void Failed(State& aState);
 
-/// \brief Replaces the applied part of the log by the embedder's state.
+/// \brief Compacts the log: replaces its applied part by a snapshot.
 void TakeSnapshot(State& aState, std::string aAppliedState, Output& aOut);
 
-/// \brief True when a snapshot would shorten the log enough.
+/// \brief True when Rules::mSnapshotEvery entries were applied since the last
+/// snapshot.
 [[nodiscard]] bool WantsSnapshot(const State& aState) noexcept;
 
-/// \brief True while this member leads and a quorum has confirmed it lately.
+/// \brief True while this member is the leader and its disk works. Tick() ends
+/// leadership that no quorum has confirmed for Rules::mElectionMax.
 [[nodiscard]] bool IsLeader(const State& aState) noexcept;
 
-/// \brief True when this member has applied all that was committed when it last
-/// heard its leader; a new leader has once an entry of its own term commits.
+/// \brief True when this member has applied every entry that was committed when
+/// it last heard from its leader. On a new leader it becomes true when an entry
+/// of its own term commits.
 [[nodiscard]] bool IsCurrent(const State& aState) noexcept;
 
-/// \brief When a leader with a quorum last gave its word, as far as this member
-/// knows: at the leader the time until which no answer of the quorum is
-/// missing.
+/// \brief When a quorum last confirmed a leader, as far as this member knows.
+/// On the leader: the current time while the quorum's replies are on schedule.
 [[nodiscard]] Micros WordAt(const State& aState, Micros aNow);
 
 /// \brief Earliest time at which Tick() has something to do.
@@ -238,22 +243,23 @@
 /// \brief Index of the last entry in the log.
 [[nodiscard]] std::uint64_t LastIndex(const State& aState) noexcept;
 
-/// \brief Term of an entry; nothing when it is compacted away or not there.
+/// \brief Term of an entry; empty if it is compacted or does not exist.
 [[nodiscard]] std::optional<std::uint64_t> TermAt(
   const State& aState,
   std::uint64_t aIndex) noexcept;
 
-/// \brief How many members vote.
+/// \brief Number of voting members.
 [[nodiscard]] std::size_t VoterCount(const wire::Membership& aMembers) noexcept;
 
-/// \brief The same members but one.
+/// \brief The membership without one member.
 [[nodiscard]] wire::Membership Without(const wire::Membership& aMembers,
                                        const std::string& aId);
 
-/// \brief Members of a group at its founding; all share one storage name.
+/// \brief Initial membership of a new group; all members share one storage
+/// name.
 [[nodiscard]] wire::Membership Founders(const std::vector<wire::Peer>& aPeers);
 
-/// \brief Storage name of the founding members' disks.
+/// \brief Storage name of the initial members' disks.
 constexpr const char* kFoundingStorage = "founding";
 
 } // namespace geraniumpond::consensus
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -18,8 +18,9 @@
          aRight->storage() == aLeft.storage();
 }
 
-// Two majorities of neighbouring memberships overlap only when they differ by
-// one voter at most; a voter with another disk counts as another voter.
+// Majorities of two consecutive memberships are sure to overlap only when the
+// memberships differ by one voter at most. A voter whose disk was replaced
+// counts as another voter.
 std::size_t VoterChanges(const wire::Membership& aOld,
                          const wire::Membership& aNew)
 {
@@ -56,7 +57,7 @@
   ContinueReads(aState, aNow, aOut);
 }
 
-// Messages that must not move the receiver to the sender's term.
+// Messages that do not by themselves move the receiver to the sender's term.
 bool KeepsTerm(const wire::ConsensusMessage& aMessage)
 {
   if (aMessage.has_vote_request()) {
@@ -177,8 +178,8 @@
   return self != nullptr && self->voter() && self->storage() == aState.mStorage;
 }
 
-// Whether any of the memberships has this member's vote that may be in force:
-// the last one that is known to be committed, and all after it.
+// True when this member is a voter in any membership that may be in effect: the
+// last one known to be committed and all later ones.
 bool MayHaveAVote(const State& aState) noexcept
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
@@ -202,9 +203,9 @@
   return IsVoterOf(aState, aState.mMembership);
 }
 
-// The member whose vote is being taken may be the only one that has the entry
-// that takes it: the others need its vote still, and it grants none to a log
-// that is shorter. It leads until the entry is committed.
+// A voter that is being removed may be the only member that has the entry which
+// removes it. The others still need its vote, and it grants none to a shorter
+// log, so it must be able to lead until that entry is committed.
 bool MayStand(const State& aState) noexcept
 {
   return IsVoter(aState) ||
@@ -262,7 +263,8 @@
 
 namespace {
 
-// The latest time by which a quorum has answered; the leader itself does now.
+// The latest time by which a quorum has replied; the leader counts as having
+// replied now.
 Micros QuorumHeardAt(const State& aState, Micros aNow)
 {
   return ReachedByQuorum(
@@ -329,10 +331,12 @@
   }
   if (aState.mCommit < aState.mMembershipIndex ||
       aState.mCommit < aState.mTermStart) {
-    return Fail(ErrorCode::Conflict, "an earlier change is not committed");
+    return Fail(ErrorCode::Conflict,
+                "an earlier membership change is not yet committed");
   }
   if (VoterChanges(aState.mMembership, aNext) > 1 || VoterCount(aNext) == 0) {
-    return Fail(ErrorCode::InvalidArgument, "one voter at a time");
+    return Fail(ErrorCode::InvalidArgument,
+                "only one voter can be changed at a time");
   }
   wire::Entry entry;
   entry.set_term(aState.mTerm);
@@ -368,8 +372,8 @@
   return aState.mRole == Role::Leader && !aState.mFailed;
 }
 
-// The quorum answers each heartbeat: until the next one is due no answer is
-// missing.
+// The quorum replies to every heartbeat, so that no reply is missing until the
+// next one is due.
 Micros WordAt(const State& aState, Micros aNow)
 {
   if (!IsLeader(aState)) {
@@ -379,8 +383,8 @@
   return heardAt == 0 ? 0 : std::min(aNow, heardAt + aState.mRules.mHeartbeat);
 }
 
-// Until an entry of the leader's own term commits nobody knows how much of the
-// earlier log had been committed, the leader included.
+// Until an entry of the leader's own term commits, no member knows how much of
+// the earlier log was committed, not even the leader.
 bool IsCurrent(const State& aState) noexcept
 {
   if (aState.mFailed || TermAt(aState, aState.mCommit) != aState.mTerm) {
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -29,10 +29,11 @@
          aNow - aState.mHeardLeaderAt < aState.mRules.mElectionMin;
 }
 
-// A member that has heard no leader since its start mostly starts together
-// with the others; if it does not, the pre-vote keeps it from disturbing. An
-// election that failed, by a slow disk or two candidates at once, is given
-// twice the time with each.
+// A member that has not heard from a leader since its start has usually started
+// together with the others, so that a short timeout elects a leader sooner;
+// where it has not, the pre-vote keeps it from disrupting the group. Each
+// election doubles the timeout, since slow disks or simultaneous candidates may
+// have made the last one fail.
 Micros FirstDivisor(const State& aState, Micros aNow)
 {
   const bool starting = aState.mHeardLeaderAt == 0 &&
@@ -78,7 +79,7 @@
     progress.mKnownSince = aNow;
     progress.mHeardAt = aNow;
   }
-  // Entries of earlier terms commit only together with one of this term.
+  // Entries of earlier terms commit only through an entry of this term.
   wire::Entry entry;
   entry.set_term(aState.mTerm);
   entry.set_index(LastIndex(aState) + 1);
@@ -116,7 +117,8 @@
   SendDurable(aState, std::move(reply), aOut);
 }
 
-// One that stands while its vote is being taken does not count itself.
+// A member that campaigns while it is being removed as a voter does not count
+// its own vote.
 std::set<std::string> OwnVote(const State& aState)
 {
   return IsVoter(aState) ? std::set<std::string>{ aState.mId }
@@ -141,8 +143,8 @@
   const Rules& rules = aState.mRules;
   const auto width =
     static_cast<std::uint64_t>(rules.mElectionMax - rules.mElectionMin);
-  const std::uint64_t spread = Hash64(aState.mId, aRandom) % (width + 1);
-  const Micros timeout = rules.mElectionMin + static_cast<Micros>(spread);
+  const std::uint64_t jitter = Hash64(aState.mId, aRandom) % (width + 1);
+  const Micros timeout = rules.mElectionMin + static_cast<Micros>(jitter);
   aState.mElectionAt = aNow + timeout / FirstDivisor(aState, aNow);
 }
 
@@ -193,9 +195,9 @@
   CountVotes(aState, aNow, aRandom, aOut);
 }
 
-// A learner votes as well: it may have been made a voter by an entry that it
-// has not received, and without it there may be no majority. The candidate
-// knows whether its vote counts.
+// Learners vote too: an entry that this member has not received may have made
+// it a voter, and there may be no majority without it. The candidate decides
+// whether the vote counts.
 void TakeVoteRequest(State& aState,
                      Micros aNow,
                      std::uint64_t aRandom,
@@ -203,8 +205,8 @@
                      Output& aOut)
 {
   const wire::VoteRequest& request = aMessage.vote_request();
-  // A member that hears a leader does not help to depose it; this also keeps
-  // a host that is back from a partition from disturbing the group.
+  // A member with a live leader does not vote against it. This also keeps a
+  // host that rejoins after a partition from disrupting the group.
   if (HearsLeader(aState, aNow) && !request.transfer()) {
     ReplyVote(aState, aMessage, false, aOut);
     return;
@@ -218,10 +220,10 @@
   if (aMessage.term() > aState.mTerm) {
     BecomeFollower(aState, aMessage.term(), "", aOut);
   }
-  const bool free =
+  const bool mayVote =
     aState.mVotedFor.empty() || aState.mVotedFor == aMessage.from();
-  const bool granted =
-    aMessage.term() == aState.mTerm && free && LogIsUpToDate(aState, request);
+  const bool granted = aMessage.term() == aState.mTerm && mayVote &&
+                       LogIsUpToDate(aState, request);
   if (!granted) {
     ReplyVote(aState, aMessage, false, aOut);
     return;
@@ -237,11 +239,11 @@
                    Output& aOut)
 {
   const wire::VoteReply& reply = aMessage.vote_reply();
-  const bool mine = reply.pre_vote() ? aState.mRole == Role::PreCandidate &&
-                                         aMessage.term() == aState.mTerm + 1
-                                     : aState.mRole == Role::Candidate &&
-                                         aMessage.term() == aState.mTerm;
-  if (!mine || !reply.granted()) {
+  const bool expected = reply.pre_vote() ? aState.mRole == Role::PreCandidate &&
+                                             aMessage.term() == aState.mTerm + 1
+                                         : aState.mRole == Role::Candidate &&
+                                             aMessage.term() == aState.mTerm;
+  if (!expected || !reply.granted()) {
     return;
   }
   const wire::Member* member = FindMember(aState.mMembership, aMessage.from());
--- a/src/consensus/internal.h
+++ b/src/consensus/internal.h
@@ -5,23 +5,23 @@
 #include <algorithm>
 #include <functional>
 
-/// \brief Steps that the consensus sources share.
+/// \brief Functions shared by the consensus sources.
 namespace geraniumpond::consensus {
 
 // --- log.cpp
 
-/// \brief Opens a write for this call, or adds to the one that is open.
+/// \brief The pending write of this call; begins one where needed.
 Write& OpenWrite(State& aState, Output& aOut);
 
-/// \brief Records the term and the vote.
+/// \brief Persists the term and the vote.
 void WriteHardState(State& aState, Output& aOut);
 
-/// \brief Appends entries that continue the log.
+/// \brief Appends entries that directly follow the log's last one.
 void AppendEntries(State& aState,
                    const std::vector<wire::Entry>& aEntries,
                    Output& aOut);
 
-/// \brief Drops all entries from an index on.
+/// \brief Removes all entries from an index on.
 void TruncateFrom(State& aState, std::uint64_t aIndex, Output& aOut);
 
 /// \brief Replaces the log by a snapshot from the leader.
@@ -29,7 +29,7 @@
                      const wire::Snapshot& aSnapshot,
                      Output& aOut);
 
-/// \brief Moves the commit index and hands newly committed entries over.
+/// \brief Advances the commit index and outputs newly committed entries.
 void CommitTo(State& aState, std::uint64_t aIndex, Output& aOut);
 
 [[nodiscard]] const wire::Entry* EntryAt(const State& aState,
@@ -79,11 +79,13 @@
 
 // --- reads.cpp
 
-/// \brief Sends the next check where reads wait for one and none is under way.
+/// \brief Starts the next LeaderCheck round if reads wait for it, none is in
+/// flight and the interval has passed.
 void ContinueReads(State& aState, Micros aNow, Output& aOut);
-/// \brief The same, where the answers to the last one may be lost.
+/// \brief Starts a round while reads wait even if one is in flight, since its
+/// messages may be lost.
 void RepeatReads(State& aState, Micros aNow, Output& aOut);
-/// \brief When the next check is due; never while none is wanted.
+/// \brief When the next round is due; the maximum if none is needed.
 [[nodiscard]] Micros NextCheckTime(const State& aState) noexcept;
 void TakeLeaderCheck(State& aState,
                      const wire::ConsensusMessage& aMessage,
@@ -97,29 +99,30 @@
 
 [[nodiscard]] const wire::Member* FindMember(const wire::Membership& aMembers,
                                              const std::string& aId) noexcept;
-/// \brief At the leader: the member whose answer of this term a message is;
-/// none for any other message.
+/// \brief On the leader: the member that sent a reply of the current term; null
+/// for any other message.
 [[nodiscard]] const wire::Member* AnsweringMember(
   const State& aState,
   const wire::ConsensusMessage& aMessage) noexcept;
 [[nodiscard]] bool IsVoter(const State& aState) noexcept;
-/// \brief True for a member that may stand for election: a voter, or one whose
-/// vote was taken by an entry that is not known to be committed.
+/// \brief True for a member that may campaign: a voter, or one whose removal as
+/// a voter is in the log but not known to be committed.
 [[nodiscard]] bool MayStand(const State& aState) noexcept;
 [[nodiscard]] std::size_t Quorum(const State& aState) noexcept;
 
-/// \brief Starts a message with the own identity and term.
+/// \brief Creates a message with this member's identity and term.
 [[nodiscard]] wire::ConsensusMessage NewMessage(const State& aState,
                                                 const std::string& aTo);
 
-/// \brief Sends at once; for what promises nothing about the own disk.
+/// \brief Sends immediately; for messages that promise nothing about this
+/// member's disk.
 void Send(wire::ConsensusMessage aMessage, Output& aOut);
 
-/// \brief Sends when every earlier write is on disk.
+/// \brief Sends once all earlier writes are on disk.
 void SendDurable(State& aState, wire::ConsensusMessage aMessage, Output& aOut);
 
-/// \brief The largest value that a quorum has reached, by what the leader knows
-/// of each voter and by its own value.
+/// \brief The largest value that a quorum of voters has reached. `aOf` extracts
+/// a voter's value from its Progress; `aOwn` is this member's value.
 template<class Value, class Of>
 [[nodiscard]] Value ReachedByQuorum(const State& aState, Value aOwn, Of aOf)
 {
@@ -143,7 +146,7 @@
   return values[values.size() / 2];
 }
 
-/// \brief True when a quorum, this member included, was heard since a time.
+/// \brief True when a quorum, this member included, has replied since a time.
 [[nodiscard]] bool QuorumHeardSince(const State& aState, Micros aTime);
 
 } // namespace geraniumpond::consensus
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The membership in force is the last one in the log, committed or not.
+// The last membership in the log is in effect, committed or not.
 void FindMembership(State& aState)
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
@@ -149,9 +149,9 @@
                      const wire::Snapshot& aSnapshot,
                      Output& aOut)
 {
-  const bool keepsSuffix =
+  const bool suffixMatches =
     TermAt(aState, aSnapshot.index()) == aSnapshot.term();
-  if (!keepsSuffix) {
+  if (!suffixMatches) {
     aState.mLog.clear();
   }
   while (!aState.mLog.empty() &&
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -2,10 +2,11 @@
 
 #include <limits>
 
-// A leader that others have replaced without its knowledge holds an old state.
-// So it answers a read once a quorum has followed it in a round that began
-// after the read came. A round needs no entry in the log and no disk: a
-// follower promises nothing but that it knows no later leader at this moment.
+// Linearizable reads. A leader that has been replaced without noticing would
+// answer from stale state, so it answers a read only after a quorum has replied
+// in a round that began after the read was requested. A round needs no log
+// entry and no disk write: a follower only confirms that it knows of no later
+// term.
 namespace geraniumpond::consensus {
 
 namespace {
@@ -52,7 +53,7 @@
          AnsweredRound(aState) >= aRound;
 }
 
-// A check for each of many reads would keep a small leader from answering them.
+// A round for every single read would take most of a small leader's capacity.
 Micros NextCheckTime(const State& aState) noexcept
 {
   const bool wanted =
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A snapshot that was not answered is sent again after this time.
+// Time after which an unacknowledged snapshot is sent again.
 constexpr Micros kSnapshotRetry = kSecond;
 
 void SendSnapshot(State& aState,
@@ -49,11 +49,11 @@
   request.set_round(aState.mRound);
   request.set_word_age_ms(
     static_cast<std::uint32_t>((aNow - WordAt(aState, aNow)) / kMillisecond));
-  std::size_t room = aState.mRules.mEntriesPerMessage;
-  while (room > 0 && progress.mNext <= LastIndex(aState)) {
+  std::size_t remaining = aState.mRules.mEntriesPerMessage;
+  while (remaining > 0 && progress.mNext <= LastIndex(aState)) {
     *request.add_entries() = *EntryAt(aState, progress.mNext);
     ++progress.mNext;
-    --room;
+    --remaining;
   }
   progress.mSentAt = aNow;
   Send(std::move(message), aOut);
@@ -74,8 +74,8 @@
   SendDurable(aState, std::move(message), aOut);
 }
 
-// First index of the term that conflicts, so that the leader skips a term per
-// round trip instead of an entry.
+// First index of the conflicting term, so that the leader backs up by a term
+// per round trip instead of an entry.
 std::uint64_t ConflictHint(const State& aState, std::uint64_t aPrev)
 {
   const std::uint64_t last = LastIndex(aState);
@@ -90,26 +90,26 @@
   return std::max<std::uint64_t>(index, 1);
 }
 
-// Entries that the log does not have yet; a conflict drops the old suffix.
+// Entries missing from the log; a conflicting suffix of the log is truncated.
 std::vector<wire::Entry> NewEntries(State& aState,
                                     const wire::AppendRequest& aRequest,
                                     Output& aOut)
 {
-  std::vector<wire::Entry> fresh;
+  std::vector<wire::Entry> newEntries;
   for (const wire::Entry& entry : aRequest.entries()) {
     if (entry.index() <= aState.mSnapshot.index()) {
       continue;
     }
     const std::optional<std::uint64_t> known = TermAt(aState, entry.index());
-    if (fresh.empty() && known == entry.term()) {
+    if (newEntries.empty() && known == entry.term()) {
       continue;
     }
-    if (fresh.empty() && known) {
+    if (newEntries.empty() && known) {
       TruncateFrom(aState, entry.index(), aOut);
     }
-    fresh.push_back(entry);
+    newEntries.push_back(entry);
   }
-  return fresh;
+  return newEntries;
 }
 
 std::uint64_t QuorumMatch(const State& aState)
@@ -131,7 +131,7 @@
     aOut);
 }
 
-// The voter that has most of the log; empty where none has answered.
+// The voter with the highest match index; empty if none has acknowledged any.
 std::string MostAdvancedVoter(const State& aState)
 {
   std::string best;
@@ -147,7 +147,8 @@
   return best;
 }
 
-// Without a word the group would have no leader until a voter's timeout.
+// A removed leader starts an election on a voter, since the group would
+// otherwise have no leader until a voter times out.
 void StepDownIfRemoved(State& aState, Output& aOut)
 {
   if (aState.mCommit < aState.mMembershipIndex || IsVoter(aState)) {
@@ -177,8 +178,8 @@
 {
   const std::uint64_t match = QuorumMatch(aState);
   if (match > aState.mCommit && TermAt(aState, match) == aState.mTerm) {
-    // The first commit of a term tells all members how much of the log had been
-    // committed before; they serve nothing until they hear of it.
+    // The first commit of a term tells members how much of the earlier log is
+    // committed. They serve nothing until they know, so broadcast it at once.
     if (aState.mCommit < aState.mTermStart) {
       aState.mHeartbeatAt = 0;
     }
@@ -204,8 +205,8 @@
                 aOut);
     return;
   }
-  const std::vector<wire::Entry> fresh = NewEntries(aState, request, aOut);
-  AppendEntries(aState, fresh, aOut);
+  const std::vector<wire::Entry> newEntries = NewEntries(aState, request, aOut);
+  AppendEntries(aState, newEntries, aOut);
   const std::uint64_t sent =
     request.entries().empty()
       ? prev
@@ -234,8 +235,9 @@
     progress.mNext = std::max(progress.mMatch + 1,
                               std::min(reply.index(), LastIndex(aState) + 1));
     progress.mSnapshotSent = false;
-    // Without progress the next heartbeat tries again: a member that lost what
-    // it had acknowledged must not be asked at the speed of the network.
+    // Without progress, leave the retry to the next heartbeat: a member that
+    // lost entries it had acknowledged would otherwise be sent requests as fast
+    // as the network allows.
     if (progress.mNext < before) {
       SendAppend(aState, *member, aNow, aOut);
     }
@@ -290,8 +292,8 @@
   entry.set_index(LastIndex(aState) + 1);
   entry.set_command(std::move(aCommand));
   AppendEntries(aState, { entry }, aOut);
-  // A message to each member for each of a thousand announcements keeps a
-  // leader busy for seconds.
+  // Broadcasting each of a thousand announcements by itself keeps a leader busy
+  // for seconds.
   const Micros batchAt = aState.mBroadcastAt + aState.mRules.mBatchPause;
   if (aNow >= batchAt) {
     Broadcast(aState, aNow, aOut);
@@ -312,8 +314,9 @@
   std::uint64_t best = 0;
   for (const wire::Member& member : aState.mMembership.members()) {
     const Progress& progress = aState.mProgress[member.id()];
-    const bool live = aNow - progress.mHeardAt < aState.mRules.mElectionMin;
-    if (member.voter() && member.id() != aState.mId && live &&
+    const bool reachable =
+      aNow - progress.mHeardAt < aState.mRules.mElectionMin;
+    if (member.voter() && member.id() != aState.mId && reachable &&
         aExcept.count(member.id()) == 0 && progress.mMatch + 1 > best) {
       best = progress.mMatch + 1;
       aState.mTransferTo = member.id();
