--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -101,27 +101,27 @@
   ResetElection(aState, aNow, aRandom);
 }
 
-void Handle(State& aState,
-            Micros aNow,
-            std::uint64_t aRandom,
-            const wire::ConsensusMessage& aMessage,
-            Output& aOut)
+void HandleMessage(State& aState,
+                   Micros aNow,
+                   std::uint64_t aRandom,
+                   const wire::ConsensusMessage& aMessage,
+                   Output& aOut)
 {
   switch (aMessage.body_case()) {
     case wire::ConsensusMessage::kVoteRequest:
-      TakeVoteRequest(aState, aNow, aRandom, aMessage, aOut);
+      HandleVoteRequest(aState, aNow, aRandom, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kVoteReply:
-      TakeVoteReply(aState, aNow, aRandom, aMessage, aOut);
+      HandleVoteReply(aState, aNow, aRandom, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kAppendRequest:
-      TakeAppendRequest(aState, aMessage, aOut);
+      HandleAppendRequest(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kAppendReply:
-      TakeAppendReply(aState, aNow, aMessage, aOut);
+      HandleAppendReply(aState, aNow, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kSnapshotRequest:
-      TakeSnapshotRequest(aState, aMessage, aOut);
+      HandleSnapshotRequest(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kTransferRequest:
       if (IsVoter(aState)) {
@@ -129,10 +129,10 @@
       }
       break;
     case wire::ConsensusMessage::kLeaderCheck:
-      TakeLeaderCheck(aState, aMessage, aOut);
+      HandleLeaderCheck(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kLeaderCheckReply:
-      TakeLeaderCheckReply(aState, aNow, aMessage, aOut);
+      HandleLeaderCheckReply(aState, aNow, aMessage, aOut);
       break;
     case wire::ConsensusMessage::BODY_NOT_SET:
       break;
@@ -315,7 +315,7 @@
   if (IsFromLeader(aMessage)) {
     FollowLeader(aState, aNow, aRandom, aMessage, aOut);
   }
-  Handle(aState, aNow, aRandom, aMessage, aOut);
+  HandleMessage(aState, aNow, aRandom, aMessage, aOut);
   if (aState.mRole == Role::Learner && MayStand(aState)) {
     aState.mRole = Role::Follower;
   }
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -198,11 +198,11 @@
 // Learners vote too: an entry that this member has not received may have made
 // it a voter, and there may be no majority without it. The candidate decides
 // whether the vote counts.
-void TakeVoteRequest(State& aState,
-                     Micros aNow,
-                     std::uint64_t aRandom,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut)
+void HandleVoteRequest(State& aState,
+                       Micros aNow,
+                       std::uint64_t aRandom,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut)
 {
   const wire::VoteRequest& request = aMessage.vote_request();
   // A member with a live leader does not vote against it. This also keeps a
@@ -232,11 +232,11 @@
   GrantVote(aState, aMessage, aOut);
 }
 
-void TakeVoteReply(State& aState,
-                   Micros aNow,
-                   std::uint64_t aRandom,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut)
+void HandleVoteReply(State& aState,
+                     Micros aNow,
+                     std::uint64_t aRandom,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut)
 {
   const wire::VoteReply& reply = aMessage.vote_reply();
   const bool expected = reply.pre_vote() ? aState.mRole == Role::PreCandidate &&
--- a/src/consensus/internal.h
+++ b/src/consensus/internal.h
@@ -51,31 +51,31 @@
                   Micros aNow,
                   std::uint64_t aRandom,
                   Output& aOut);
-void TakeVoteRequest(State& aState,
+void HandleVoteRequest(State& aState,
+                       Micros aNow,
+                       std::uint64_t aRandom,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut);
+void HandleVoteReply(State& aState,
                      Micros aNow,
                      std::uint64_t aRandom,
                      const wire::ConsensusMessage& aMessage,
                      Output& aOut);
-void TakeVoteReply(State& aState,
-                   Micros aNow,
-                   std::uint64_t aRandom,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut);
 
 // --- replication.cpp
 
 void Broadcast(State& aState, Micros aNow, Output& aOut);
 void AdvanceCommit(State& aState, Output& aOut);
-void TakeAppendRequest(State& aState,
-                       const wire::ConsensusMessage& aMessage,
-                       Output& aOut);
-void TakeAppendReply(State& aState,
-                     Micros aNow,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut);
-void TakeSnapshotRequest(State& aState,
+void HandleAppendRequest(State& aState,
                          const wire::ConsensusMessage& aMessage,
                          Output& aOut);
+void HandleAppendReply(State& aState,
+                       Micros aNow,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut);
+void HandleSnapshotRequest(State& aState,
+                           const wire::ConsensusMessage& aMessage,
+                           Output& aOut);
 
 // --- reads.cpp
 
@@ -87,13 +87,13 @@
 void RepeatReads(State& aState, Micros aNow, Output& aOut);
 /// \brief When the next round is due; the maximum if none is needed.
 [[nodiscard]] Micros NextCheckTime(const State& aState) noexcept;
-void TakeLeaderCheck(State& aState,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut);
-void TakeLeaderCheckReply(State& aState,
-                          Micros aNow,
-                          const wire::ConsensusMessage& aMessage,
-                          Output& aOut);
+void HandleLeaderCheck(State& aState,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut);
+void HandleLeaderCheckReply(State& aState,
+                            Micros aNow,
+                            const wire::ConsensusMessage& aMessage,
+                            Output& aOut);
 
 // --- consensus.cpp
 
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -79,9 +79,9 @@
   }
 }
 
-void TakeLeaderCheck(State& aState,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut)
+void HandleLeaderCheck(State& aState,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aMessage.from());
   reply.mutable_leader_check_reply()->set_round(
@@ -89,10 +89,10 @@
   Send(std::move(reply), aOut);
 }
 
-void TakeLeaderCheckReply(State& aState,
-                          Micros aNow,
-                          const wire::ConsensusMessage& aMessage,
-                          Output& aOut)
+void HandleLeaderCheckReply(State& aState,
+                            Micros aNow,
+                            const wire::ConsensusMessage& aMessage,
+                            Output& aOut)
 {
   const wire::Member* member = AnsweringMember(aState, aMessage);
   if (member == nullptr) {
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -188,9 +188,9 @@
   }
 }
 
-void TakeAppendRequest(State& aState,
-                       const wire::ConsensusMessage& aMessage,
-                       Output& aOut)
+void HandleAppendRequest(State& aState,
+                         const wire::ConsensusMessage& aMessage,
+                         Output& aOut)
 {
   const wire::AppendRequest& request = aMessage.append_request();
   aState.mLeaderCommit = request.commit();
@@ -216,10 +216,10 @@
   ReplyAppend(aState, aMessage.from(), true, matched, request.round(), aOut);
 }
 
-void TakeAppendReply(State& aState,
-                     Micros aNow,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut)
+void HandleAppendReply(State& aState,
+                       Micros aNow,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut)
 {
   const wire::Member* member = AnsweringMember(aState, aMessage);
   if (member == nullptr) {
@@ -266,9 +266,9 @@
   }
 }
 
-void TakeSnapshotRequest(State& aState,
-                         const wire::ConsensusMessage& aMessage,
-                         Output& aOut)
+void HandleSnapshotRequest(State& aState,
+                           const wire::ConsensusMessage& aMessage,
+                           Output& aOut)
 {
   const wire::SnapshotRequest& request = aMessage.snapshot_request();
   if (request.snapshot().index() > aState.mCommit) {
