--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -58,7 +58,7 @@
 }
 
 // Messages that do not by themselves move the receiver to the sender's term.
-bool KeepsTerm(const wire::ConsensusMessage& aMessage)
+bool PreservesTerm(const wire::ConsensusMessage& aMessage)
 {
   if (aMessage.has_vote_request()) {
     return true;
@@ -73,9 +73,9 @@
          aMessage.has_leader_check();
 }
 
-void RefuseOldTerm(State& aState,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut)
+void RejectStaleTerm(State& aState,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aMessage.from());
   reply.mutable_append_reply()->set_success(false);
@@ -180,7 +180,7 @@
 
 // True when this member is a voter in any membership that may be in effect: the
 // last one known to be committed and all later ones.
-bool MayHaveAVote(const State& aState) noexcept
+bool MayHaveVote(const State& aState) noexcept
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
     if (!it->has_membership()) {
@@ -206,10 +206,10 @@
 // A voter that is being removed may be the only member that has the entry which
 // removes it. The others still need its vote, and it grants none to a shorter
 // log, so it must be able to lead until that entry is committed.
-bool MayStand(const State& aState) noexcept
+bool MayCampaign(const State& aState) noexcept
 {
   return IsVoter(aState) ||
-         (aState.mMembershipIndex > aState.mCommit && MayHaveAVote(aState));
+         (aState.mMembershipIndex > aState.mCommit && MayHaveVote(aState));
 }
 
 std::size_t VoterCount(const wire::Membership& aMembers) noexcept
@@ -287,7 +287,7 @@
     LeaderTick(aState, aNow, aOut);
     return;
   }
-  if (!MayStand(aState)) {
+  if (!MayCampaign(aState)) {
     aState.mRole = Role::Learner;
     return;
   }
@@ -306,17 +306,17 @@
     return;
   }
   if (aMessage.term() < aState.mTerm && IsFromLeader(aMessage)) {
-    RefuseOldTerm(aState, aMessage, aOut);
+    RejectStaleTerm(aState, aMessage, aOut);
     return;
   }
-  if (aMessage.term() > aState.mTerm && !KeepsTerm(aMessage)) {
+  if (aMessage.term() > aState.mTerm && !PreservesTerm(aMessage)) {
     BecomeFollower(aState, aMessage.term(), "", aOut);
   }
   if (IsFromLeader(aMessage)) {
     FollowLeader(aState, aNow, aRandom, aMessage, aOut);
   }
   HandleMessage(aState, aNow, aRandom, aMessage, aOut);
-  if (aState.mRole == Role::Learner && MayStand(aState)) {
+  if (aState.mRole == Role::Learner && MayCampaign(aState)) {
     aState.mRole = Role::Follower;
   }
 }
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMostHalvings = 16;
+constexpr int kMaxHalvings = 16;
 
 bool LogIsUpToDate(const State& aState, const wire::VoteRequest& aRequest)
 {
@@ -20,7 +20,7 @@
   return aRequest.last_index() >= last;
 }
 
-bool HearsLeader(const State& aState, Micros aNow)
+bool HasLiveLeader(const State& aState, Micros aNow)
 {
   if (aState.mRole == Role::Leader) {
     return true;
@@ -34,22 +34,22 @@
 // where it has not, the pre-vote keeps it from disrupting the group. Each
 // election doubles the timeout, since slow disks or simultaneous candidates may
 // have made the last one fail.
-Micros FirstDivisor(const State& aState, Micros aNow)
+Micros StartupDivisor(const State& aState, Micros aNow)
 {
   const bool starting = aState.mHeardLeaderAt == 0 &&
                         aNow - aState.mOpenedAt < aState.mRules.mFirstTime;
   if (!starting) {
     return 1;
   }
-  const int halvings = std::min(aState.mElections, kMostHalvings);
+  const int halvings = std::min(aState.mElections, kMaxHalvings);
   return std::max<Micros>(1, aState.mRules.mFirstDivisor >> halvings);
 }
 
-void AskForVotes(State& aState,
-                 std::uint64_t aTerm,
-                 bool aPreVote,
-                 bool aTransfer,
-                 Output& aOut)
+void SendVoteRequests(State& aState,
+                      std::uint64_t aTerm,
+                      bool aPreVote,
+                      bool aTransfer,
+                      Output& aOut)
 {
   const std::uint64_t last = LastIndex(aState);
   for (const wire::Member& member : aState.mMembership.members()) {
@@ -102,10 +102,10 @@
   }
 }
 
-void ReplyVote(State& aState,
-               const wire::ConsensusMessage& aRequest,
-               bool aGranted,
-               Output& aOut)
+void SendVoteReply(State& aState,
+                   const wire::ConsensusMessage& aRequest,
+                   bool aGranted,
+                   Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aRequest.from());
   wire::VoteReply& body = *reply.mutable_vote_reply();
@@ -119,7 +119,7 @@
 
 // A member that campaigns while it is being removed as a voter does not count
 // its own vote.
-std::set<std::string> OwnVote(const State& aState)
+std::set<std::string> SelfVote(const State& aState)
 {
   return IsVoter(aState) ? std::set<std::string>{ aState.mId }
                          : std::set<std::string>{};
@@ -133,7 +133,7 @@
     aState.mVotedFor = aMessage.from();
     WriteHardState(aState, aOut);
   }
-  ReplyVote(aState, aMessage, true, aOut);
+  SendVoteReply(aState, aMessage, true, aOut);
 }
 
 } // namespace
@@ -145,7 +145,7 @@
     static_cast<std::uint64_t>(rules.mElectionMax - rules.mElectionMin);
   const std::uint64_t jitter = Hash64(aState.mId, aRandom) % (width + 1);
   const Micros timeout = rules.mElectionMin + static_cast<Micros>(jitter);
-  aState.mElectionAt = aNow + timeout / FirstDivisor(aState, aNow);
+  aState.mElectionAt = aNow + timeout / StartupDivisor(aState, aNow);
 }
 
 void BecomeFollower(State& aState,
@@ -158,7 +158,7 @@
     aState.mVotedFor.clear();
     WriteHardState(aState, aOut);
   }
-  aState.mRole = MayStand(aState) ? Role::Follower : Role::Learner;
+  aState.mRole = MayCampaign(aState) ? Role::Follower : Role::Learner;
   aState.mLeader = aLeader;
   aState.mVotes.clear();
   aState.mTransferTo.clear();
@@ -171,9 +171,9 @@
 {
   aState.mRole = Role::PreCandidate;
   aState.mLeader.clear();
-  aState.mVotes = OwnVote(aState);
+  aState.mVotes = SelfVote(aState);
   ResetElection(aState, aNow, aRandom);
-  AskForVotes(aState, aState.mTerm + 1, true, false, aOut);
+  SendVoteRequests(aState, aState.mTerm + 1, true, false, aOut);
   CountVotes(aState, aNow, aRandom, aOut);
 }
 
@@ -188,10 +188,10 @@
   ++aState.mTerm;
   ++aState.mElections;
   aState.mVotedFor = aState.mId;
-  aState.mVotes = OwnVote(aState);
+  aState.mVotes = SelfVote(aState);
   WriteHardState(aState, aOut);
   ResetElection(aState, aNow, aRandom);
-  AskForVotes(aState, aState.mTerm, false, aTransfer, aOut);
+  SendVoteRequests(aState, aState.mTerm, false, aTransfer, aOut);
   CountVotes(aState, aNow, aRandom, aOut);
 }
 
@@ -207,14 +207,14 @@
   const wire::VoteRequest& request = aMessage.vote_request();
   // A member with a live leader does not vote against it. This also keeps a
   // host that rejoins after a partition from disrupting the group.
-  if (HearsLeader(aState, aNow) && !request.transfer()) {
-    ReplyVote(aState, aMessage, false, aOut);
+  if (HasLiveLeader(aState, aNow) && !request.transfer()) {
+    SendVoteReply(aState, aMessage, false, aOut);
     return;
   }
   if (request.pre_vote()) {
     const bool granted =
       aMessage.term() > aState.mTerm && LogIsUpToDate(aState, request);
-    ReplyVote(aState, aMessage, granted, aOut);
+    SendVoteReply(aState, aMessage, granted, aOut);
     return;
   }
   if (aMessage.term() > aState.mTerm) {
@@ -225,7 +225,7 @@
   const bool granted = aMessage.term() == aState.mTerm && mayVote &&
                        LogIsUpToDate(aState, request);
   if (!granted) {
-    ReplyVote(aState, aMessage, false, aOut);
+    SendVoteReply(aState, aMessage, false, aOut);
     return;
   }
   ResetElection(aState, aNow, aRandom);
--- a/src/consensus/internal.h
+++ b/src/consensus/internal.h
@@ -107,7 +107,7 @@
 [[nodiscard]] bool IsVoter(const State& aState) noexcept;
 /// \brief True for a member that may campaign: a voter, or one whose removal as
 /// a voter is in the log but not known to be committed.
-[[nodiscard]] bool MayStand(const State& aState) noexcept;
+[[nodiscard]] bool MayCampaign(const State& aState) noexcept;
 [[nodiscard]] std::size_t Quorum(const State& aState) noexcept;
 
 /// \brief Creates a message with this member's identity and term.
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The last membership in the log is in effect, committed or not.
-void FindMembership(State& aState)
+void RefreshMembership(State& aState)
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
     if (it->has_membership()) {
@@ -29,7 +29,7 @@
   return hard;
 }
 
-void NoteUnsynced(State& aState)
+void TrackUnsynced(State& aState)
 {
   const std::uint64_t last = LastIndex(aState);
   if (!aState.mUnsynced.empty() &&
@@ -59,7 +59,7 @@
   write.mSnapshot = aState.mSnapshot;
   write.mRetained = RetainedRecords(aState);
   aOut.mWrites.push_back(std::move(write));
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 } // namespace
@@ -109,7 +109,7 @@
   Write& write = OpenWrite(aState, aOut);
   write.mRecords.emplace_back();
   *write.mRecords.back().mutable_hard_state() = HardStateOf(aState);
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 void AppendEntries(State& aState,
@@ -129,7 +129,7 @@
       aState.mMembershipIndex = entry.index();
     }
   }
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 void TruncateFrom(State& aState, std::uint64_t aIndex, Output& aOut)
@@ -141,8 +141,8 @@
   Write& write = OpenWrite(aState, aOut);
   write.mRecords.emplace_back();
   write.mRecords.back().set_truncate_from(aIndex);
-  FindMembership(aState);
-  NoteUnsynced(aState);
+  RefreshMembership(aState);
+  TrackUnsynced(aState);
 }
 
 void InstallSnapshot(State& aState,
@@ -162,7 +162,7 @@
   aState.mCommit = aSnapshot.index();
   aState.mApplied = aSnapshot.index();
   aState.mSyncedIndex = 0;
-  FindMembership(aState);
+  RefreshMembership(aState);
   WriteSnapshot(aState, aOut);
   aOut.mInstall = aSnapshot;
 }
@@ -247,8 +247,8 @@
     state.mLog.push_back(entry);
   }
   state.mSyncedIndex = LastIndex(state);
-  FindMembership(state);
-  state.mRole = MayStand(state) ? Role::Follower : Role::Learner;
+  RefreshMembership(state);
+  state.mRole = MayCampaign(state) ? Role::Follower : Role::Learner;
   ResetElection(state, aNow, aRandom);
   return state;
 }
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -59,12 +59,12 @@
   Send(std::move(message), aOut);
 }
 
-void ReplyAppend(State& aState,
-                 const std::string& aTo,
-                 bool aSuccess,
-                 std::uint64_t aIndex,
-                 std::uint64_t aRound,
-                 Output& aOut)
+void SendAppendReply(State& aState,
+                     const std::string& aTo,
+                     bool aSuccess,
+                     std::uint64_t aIndex,
+                     std::uint64_t aRound,
+                     Output& aOut)
 {
   wire::ConsensusMessage message = NewMessage(aState, aTo);
   wire::AppendReply& reply = *message.mutable_append_reply();
@@ -197,12 +197,12 @@
   const std::uint64_t prev = request.prev_index();
   const bool covered = prev <= aState.mSnapshot.index();
   if (!covered && TermAt(aState, prev) != request.prev_term()) {
-    ReplyAppend(aState,
-                aMessage.from(),
-                false,
-                ConflictHint(aState, prev),
-                request.round(),
-                aOut);
+    SendAppendReply(aState,
+                    aMessage.from(),
+                    false,
+                    ConflictHint(aState, prev),
+                    request.round(),
+                    aOut);
     return;
   }
   const std::vector<wire::Entry> newEntries = NewEntries(aState, request, aOut);
@@ -213,7 +213,8 @@
       : request.entries(request.entries_size() - 1).index();
   const std::uint64_t matched = std::max(sent, aState.mSnapshot.index());
   CommitTo(aState, std::min(request.commit(), matched), aOut);
-  ReplyAppend(aState, aMessage.from(), true, matched, request.round(), aOut);
+  SendAppendReply(
+    aState, aMessage.from(), true, matched, request.round(), aOut);
 }
 
 void HandleAppendReply(State& aState,
@@ -274,7 +275,7 @@
   if (request.snapshot().index() > aState.mCommit) {
     InstallSnapshot(aState, request.snapshot(), aOut);
   }
-  ReplyAppend(
+  SendAppendReply(
     aState, aMessage.from(), true, aState.mCommit, request.round(), aOut);
 }
 
