--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -94,9 +94,9 @@
 };
 
 /// \brief A message deferred until a write is on disk.
-struct Held
+struct DeferredMessage
 {
-  std::uint64_t mAfter = 0;
+  std::uint64_t mAfterWrite = 0;
   wire::ConsensusMessage mMessage;
 };
 
@@ -149,7 +149,7 @@
   /// Pending writes: sequence, and last log index once it is on disk.
   std::deque<std::pair<std::uint64_t, std::uint64_t>> mUnsynced;
   std::uint64_t mSyncedIndex = 0;
-  std::deque<Held> mHeld;
+  std::deque<DeferredMessage> mDeferredMessages;
   /// A write has failed: this member neither votes nor acknowledges entries.
   bool mFailed = false;
 };
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -80,7 +80,7 @@
   wire::ConsensusMessage reply = NewMessage(aState, aMessage.from());
   reply.mutable_append_reply()->set_success(false);
   reply.mutable_append_reply()->set_index(1);
-  SendDurable(aState, std::move(reply), aOut);
+  SendAfterSync(aState, std::move(reply), aOut);
 }
 
 void FollowLeader(State& aState,
@@ -252,13 +252,14 @@
   aOut.mMessages.push_back(std::move(aMessage));
 }
 
-void SendDurable(State& aState, wire::ConsensusMessage aMessage, Output& aOut)
+void SendAfterSync(State& aState, wire::ConsensusMessage aMessage, Output& aOut)
 {
   if (aState.mSyncedSequence >= aState.mWriteSequence) {
     Send(std::move(aMessage), aOut);
     return;
   }
-  aState.mHeld.push_back({ aState.mWriteSequence, std::move(aMessage) });
+  aState.mDeferredMessages.push_back(
+    { aState.mWriteSequence, std::move(aMessage) });
 }
 
 namespace {
@@ -364,7 +365,7 @@
   aState.mFailed = true;
   aState.mRole = Role::Learner;
   aState.mLeader.clear();
-  aState.mHeld.clear();
+  aState.mDeferredMessages.clear();
 }
 
 bool IsLeader(const State& aState) noexcept
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -63,7 +63,7 @@
     request.set_last_term(TermAt(aState, last).value_or(0));
     request.set_pre_vote(aPreVote);
     request.set_transfer(aTransfer);
-    SendDurable(aState, std::move(message), aOut);
+    SendAfterSync(aState, std::move(message), aOut);
   }
 }
 
@@ -114,7 +114,7 @@
   if (aGranted) {
     reply.set_term(aRequest.term());
   }
-  SendDurable(aState, std::move(reply), aOut);
+  SendAfterSync(aState, std::move(reply), aOut);
 }
 
 // A member that campaigns while it is being removed as a voter does not count
--- a/src/consensus/internal.h
+++ b/src/consensus/internal.h
@@ -119,7 +119,9 @@
 void Send(wire::ConsensusMessage aMessage, Output& aOut);
 
 /// \brief Sends once all earlier writes are on disk.
-void SendDurable(State& aState, wire::ConsensusMessage aMessage, Output& aOut);
+void SendAfterSync(State& aState,
+                   wire::ConsensusMessage aMessage,
+                   Output& aOut);
 
 /// \brief The largest value that a quorum of voters has reached. `aOf` extracts
 /// a voter's value from its Progress; `aOwn` is this member's value.
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -219,10 +219,12 @@
     aState.mSyncedIndex = aState.mUnsynced.front().second;
     aState.mUnsynced.pop_front();
   }
-  while (!aState.mHeld.empty() &&
-         aState.mHeld.front().mAfter <= aState.mSyncedSequence) {
-    aOut.mMessages.push_back(std::move(aState.mHeld.front().mMessage));
-    aState.mHeld.pop_front();
+  while (!aState.mDeferredMessages.empty() &&
+         aState.mDeferredMessages.front().mAfterWrite <=
+           aState.mSyncedSequence) {
+    aOut.mMessages.push_back(
+      std::move(aState.mDeferredMessages.front().mMessage));
+    aState.mDeferredMessages.pop_front();
   }
   if (aState.mRole == Role::Leader) {
     AdvanceCommit(aState, aOut);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -71,7 +71,7 @@
   reply.set_success(aSuccess);
   reply.set_index(aIndex);
   reply.set_round(aRound);
-  SendDurable(aState, std::move(message), aOut);
+  SendAfterSync(aState, std::move(message), aOut);
 }
 
 // First index of the conflicting term, so that the leader backs up by a term
