--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -136,7 +136,7 @@
   std::uint64_t mRound = 0;
   /// Round of the last LeaderCheck.
   std::uint64_t mCheckRound = 0;
-  Micros mCheckedAt = 0;
+  Micros mCheckSentAt = 0;
   /// Round that pending reads wait for; 0 for none.
   std::uint64_t mReadRound = 0;
   /// Index of the first entry of this leader's term.
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -52,9 +52,9 @@
   if (aNow >= aState.mHeartbeatAt) {
     aState.mHeartbeatAt = aNow + aState.mRules.mHeartbeat;
     Broadcast(aState, aNow, aOut);
-    RepeatReads(aState, aNow, aOut);
+    ResendChecks(aState, aNow, aOut);
   }
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
 }
 
 // Messages that do not by themselves move the receiver to the sender's term.
--- a/src/consensus/internal.h
+++ b/src/consensus/internal.h
@@ -81,10 +81,10 @@
 
 /// \brief Starts the next LeaderCheck round if reads wait for it, none is in
 /// flight and the interval has passed.
-void ContinueReads(State& aState, Micros aNow, Output& aOut);
+void SendChecksIfDue(State& aState, Micros aNow, Output& aOut);
 /// \brief Starts a round while reads wait even if one is in flight, since its
 /// messages may be lost.
-void RepeatReads(State& aState, Micros aNow, Output& aOut);
+void ResendChecks(State& aState, Micros aNow, Output& aOut);
 /// \brief When the next round is due; the maximum if none is needed.
 [[nodiscard]] Micros NextCheckTime(const State& aState) noexcept;
 void HandleLeaderCheck(State& aState,
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::uint64_t AnsweredRound(const State& aState) noexcept
+std::uint64_t ConfirmedRound(const State& aState) noexcept
 {
   return ReachedByQuorum(aState, aState.mRound, [](const Progress& aProgress) {
     return aProgress.mRound;
@@ -21,7 +21,7 @@
 void SendChecks(State& aState, Micros aNow, Output& aOut)
 {
   aState.mCheckRound = ++aState.mRound;
-  aState.mCheckedAt = aNow;
+  aState.mCheckSentAt = aNow;
   for (const wire::Member& member : aState.mMembership.members()) {
     if (!member.voter() || member.id() == aState.mId) {
       continue;
@@ -32,10 +32,10 @@
   }
 }
 
-bool ReadsWait(const State& aState) noexcept
+bool HasPendingReads(const State& aState) noexcept
 {
   return aState.mRole == Role::Leader && aState.mReadRound > 0 &&
-         aState.mReadRound > AnsweredRound(aState);
+         aState.mReadRound > ConfirmedRound(aState);
 }
 
 } // namespace
@@ -43,28 +43,28 @@
 std::uint64_t RequestRead(State& aState, Micros aNow, Output& aOut)
 {
   aState.mReadRound = aState.mRound + 1;
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
   return aState.mReadRound;
 }
 
 bool IsReadConfirmed(const State& aState, std::uint64_t aRound)
 {
   return IsLeader(aState) && IsCurrent(aState) &&
-         AnsweredRound(aState) >= aRound;
+         ConfirmedRound(aState) >= aRound;
 }
 
 // A round for every single read would take most of a small leader's capacity.
 Micros NextCheckTime(const State& aState) noexcept
 {
   const bool wanted =
-    ReadsWait(aState) && AnsweredRound(aState) >= aState.mCheckRound;
-  return wanted ? aState.mCheckedAt + aState.mRules.mCheckPause
+    HasPendingReads(aState) && ConfirmedRound(aState) >= aState.mCheckRound;
+  return wanted ? aState.mCheckSentAt + aState.mRules.mCheckPause
                 : std::numeric_limits<Micros>::max();
 }
 
-void ContinueReads(State& aState, Micros aNow, Output& aOut)
+void SendChecksIfDue(State& aState, Micros aNow, Output& aOut)
 {
-  if (!ReadsWait(aState)) {
+  if (!HasPendingReads(aState)) {
     aState.mReadRound = 0;
   }
   if (aNow >= NextCheckTime(aState)) {
@@ -72,9 +72,9 @@
   }
 }
 
-void RepeatReads(State& aState, Micros aNow, Output& aOut)
+void ResendChecks(State& aState, Micros aNow, Output& aOut)
 {
-  if (ReadsWait(aState)) {
+  if (HasPendingReads(aState)) {
     SendChecks(aState, aNow, aOut);
   }
 }
@@ -101,7 +101,7 @@
   Progress& progress = aState.mProgress[member->id()];
   progress.mRound =
     std::max(progress.mRound, aMessage.leader_check_reply().round());
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
 }
 
 } // namespace geraniumpond::consensus
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -230,7 +230,7 @@
   Progress& progress = aState.mProgress[member->id()];
   progress.mHeardAt = aNow;
   progress.mRound = std::max(progress.mRound, reply.round());
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
   if (!reply.success()) {
     const std::uint64_t before = progress.mNext;
     progress.mNext = std::max(progress.mMatch + 1,
