--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -42,19 +42,19 @@
   Micros mHeartbeat = 150 * kMillisecond;
   Micros mElectionMin = 600 * kMillisecond;
   Micros mElectionMax = 1200 * kMillisecond;
-  /// Divisor of the election timeout during mFirstTime after a start, until the
-  /// member first hears from a leader; halved with each election it starts.
-  Micros mFirstDivisor = 1;
-  Micros mFirstTime = 2 * kSecond;
+  /// Divisor of the election timeout during mStartupPeriod after a start, until
+  /// the member first hears from a leader; halved with each election it starts.
+  Micros mStartupDivisor = 1;
+  Micros mStartupPeriod = 2 * kSecond;
   /// Minimum interval between broadcasts of proposed commands; those proposed
   /// within it are sent as one batch.
-  Micros mBatchPause = 0;
+  Micros mBatchInterval = 0;
   /// Minimum interval between two LeaderCheck rounds; reads requested within it
   /// share the next round.
-  Micros mCheckPause = 50 * kMillisecond;
+  Micros mCheckInterval = 50 * kMillisecond;
   std::size_t mEntriesPerMessage = 256;
   /// Entries applied since the last snapshot that make the next one due.
-  std::size_t mSnapshotEvery = 1000;
+  std::size_t mSnapshotInterval = 1000;
   /// Log entries kept before a snapshot, for followers that lag slightly.
   std::size_t mRetained = 200;
 };
@@ -65,7 +65,7 @@
   std::uint64_t mMatch = 0;
   std::uint64_t mNext = 1;
   /// When this leader began to track it; mHeardAt starts at this time too.
-  Micros mKnownSince = 0;
+  Micros mTrackedSince = 0;
   Micros mHeardAt = 0;
   Micros mSentAt = 0;
   /// Latest round that it has answered.
@@ -220,8 +220,8 @@
 /// \brief Compacts the log: replaces its applied part by a snapshot.
 void TakeSnapshot(State& aState, std::string aAppliedState, Output& aOut);
 
-/// \brief True when Rules::mSnapshotEvery entries were applied since the last
-/// snapshot.
+/// \brief True when Rules::mSnapshotInterval entries were applied since the
+/// last snapshot.
 [[nodiscard]] bool WantsSnapshot(const State& aState) noexcept;
 
 /// \brief True while this member is the leader and its disk works. Tick() ends
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -348,7 +348,7 @@
     if (aState.mProgress.count(member.id()) == 0) {
       Progress& progress = aState.mProgress[member.id()];
       progress.mNext = LastIndex(aState);
-      progress.mKnownSince = aNow;
+      progress.mTrackedSince = aNow;
       progress.mHeardAt = aNow;
     }
   }
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -37,12 +37,12 @@
 Micros StartupDivisor(const State& aState, Micros aNow)
 {
   const bool starting = aState.mHeardLeaderAt == 0 &&
-                        aNow - aState.mOpenedAt < aState.mRules.mFirstTime;
+                        aNow - aState.mOpenedAt < aState.mRules.mStartupPeriod;
   if (!starting) {
     return 1;
   }
   const int halvings = std::min(aState.mElections, kMaxHalvings);
-  return std::max<Micros>(1, aState.mRules.mFirstDivisor >> halvings);
+  return std::max<Micros>(1, aState.mRules.mStartupDivisor >> halvings);
 }
 
 void SendVoteRequests(State& aState,
@@ -76,7 +76,7 @@
   for (const wire::Member& member : aState.mMembership.members()) {
     Progress& progress = aState.mProgress[member.id()];
     progress.mNext = LastIndex(aState) + 1;
-    progress.mKnownSince = aNow;
+    progress.mTrackedSince = aNow;
     progress.mHeardAt = aNow;
   }
   // Entries of earlier terms commit only through an entry of this term.
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -195,7 +195,7 @@
 bool WantsSnapshot(const State& aState) noexcept
 {
   return aState.mApplied >=
-         aState.mSnapshot.index() + aState.mRules.mSnapshotEvery;
+         aState.mSnapshot.index() + aState.mRules.mSnapshotInterval;
 }
 
 void CommitTo(State& aState, std::uint64_t aIndex, Output& aOut)
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -259,7 +259,7 @@
   if (progress.mNext > LastIndex(aState)) {
     return;
   }
-  const Micros batchAt = progress.mSentAt + aState.mRules.mBatchPause;
+  const Micros batchAt = progress.mSentAt + aState.mRules.mBatchInterval;
   if (aNow >= batchAt) {
     SendAppend(aState, *member, aNow, aOut);
   } else {
@@ -295,7 +295,7 @@
   AppendEntries(aState, { entry }, aOut);
   // Broadcasting each of a thousand announcements by itself keeps a leader busy
   // for seconds.
-  const Micros batchAt = aState.mBroadcastAt + aState.mRules.mBatchPause;
+  const Micros batchAt = aState.mBroadcastAt + aState.mRules.mBatchInterval;
   if (aNow >= batchAt) {
     Broadcast(aState, aNow, aOut);
   } else {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -117,11 +117,11 @@
       aRecovered,
       aNow,
       aRandom);
-    state.mGroup.mRules.mFirstDivisor = kFirstElectionDivisor;
+    state.mGroup.mRules.mStartupDivisor = kFirstElectionDivisor;
     state.mGroup.mElectionAt =
       aNow + (state.mGroup.mElectionAt - aNow) / kFirstAskDivisor;
-    state.mGroup.mRules.mBatchPause = kBatchPause;
-    state.mGroup.mRules.mSnapshotEvery = kSnapshotEntries;
+    state.mGroup.mRules.mBatchInterval = kBatchPause;
+    state.mGroup.mRules.mSnapshotInterval = kSnapshotEntries;
     state.mGroup.mRules.mRetained = kRetainedEntries;
     LoadRecovered(state, aOut);
     NoteOpened(state, aOut);
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -213,7 +213,7 @@
   const MemberView view = ViewOf(aState, aLearner, aNow);
   return view.mSilent <= kPromoteWithin && !view.mStopping && !view.mReplaced &&
          progress->second.mMatch + kCaughtUp >= group.mCommit &&
-         IsAVoteOfUse(aState, aNow, aLearner, progress->second.mKnownSince);
+         IsAVoteOfUse(aState, aNow, aLearner, progress->second.mTrackedSince);
 }
 
 // A disk that was replaced does not come back; of silent hosts the one that has
