--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -56,7 +56,7 @@
   /// Entries applied since the last snapshot that make the next one due.
   std::size_t mSnapshotInterval = 1000;
   /// Log entries kept before a snapshot, for followers that lag slightly.
-  std::size_t mRetained = 200;
+  std::size_t mRetainedEntries = 200;
 };
 
 /// \brief Replication progress of one member, as tracked by the leader.
@@ -80,7 +80,7 @@
   std::vector<wire::LogRecord> mRecords;
   std::optional<wire::Snapshot> mSnapshot;
   /// With a snapshot: the records that the new log file starts with.
-  std::vector<wire::LogRecord> mRetained;
+  std::vector<wire::LogRecord> mRetainedRecords;
 };
 
 /// \brief Actions that a call asks the embedder to perform.
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -57,7 +57,7 @@
   Write write;
   write.mSequence = ++aState.mWriteSequence;
   write.mSnapshot = aState.mSnapshot;
-  write.mRetained = RetainedRecords(aState);
+  write.mRetainedRecords = RetainedRecords(aState);
   aOut.mWrites.push_back(std::move(write));
   TrackUnsynced(aState);
 }
@@ -184,7 +184,7 @@
   }
   snapshot.set_state(std::move(aAppliedState));
   aState.mSnapshot = std::move(snapshot);
-  const std::size_t retained = aState.mRules.mRetained;
+  const std::size_t retained = aState.mRules.mRetainedEntries;
   while (!aState.mLog.empty() && aState.mLog.front().index() <= index &&
          aState.mLog.size() > retained + (LastIndex(aState) - index)) {
     aState.mLog.pop_front();
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -122,7 +122,7 @@
       aNow + (state.mGroup.mElectionAt - aNow) / kFirstAskDivisor;
     state.mGroup.mRules.mBatchInterval = kBatchPause;
     state.mGroup.mRules.mSnapshotInterval = kSnapshotEntries;
-    state.mGroup.mRules.mRetained = kRetainedEntries;
+    state.mGroup.mRules.mRetainedEntries = kRetainedEntries;
     LoadRecovered(state, aOut);
     NoteOpened(state, aOut);
   }
--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -20,7 +20,7 @@
   }
   if (aWrite.mSnapshot) {
     *persist.mutable_snapshot() = *aWrite.mSnapshot;
-    for (const wire::LogRecord& record : aWrite.mRetained) {
+    for (const wire::LogRecord& record : aWrite.mRetainedRecords) {
       *persist.add_retained() = record;
     }
   }
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -92,7 +92,7 @@
     return;
   }
   *persist.mutable_snapshot() = *aWrite.mSnapshot;
-  for (wire::LogRecord& record : aWrite.mRetained) {
+  for (wire::LogRecord& record : aWrite.mRetainedRecords) {
     *persist.add_retained() = std::move(record);
   }
 }
--- a/tests/fakes/disk.cpp
+++ b/tests/fakes/disk.cpp
@@ -43,7 +43,7 @@
   if (aWrite.mSnapshot) {
     aDisk.mSnapshot = *aWrite.mSnapshot;
     aDisk.mEntries.clear();
-    for (const wire::LogRecord& record : aWrite.mRetained) {
+    for (const wire::LogRecord& record : aWrite.mRetainedRecords) {
       ApplyRecord(aDisk, record);
     }
   }
