--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -128,7 +128,7 @@
   int mElections = 0;
   /// On followers and learners: when the leader last had its leadership
   /// confirmed by a quorum, by this member's clock.
-  Micros mWordAt = 0;
+  Micros mQuorumConfirmedAt = 0;
   /// Commit index in the last append request from the leader.
   std::uint64_t mLeaderCommit = 0;
   std::set<std::string> mVotes;
@@ -235,7 +235,7 @@
 
 /// \brief When a quorum last confirmed a leader, as far as this member knows.
 /// On the leader: the current time while the quorum's replies are on schedule.
-[[nodiscard]] Micros WordAt(const State& aState, Micros aNow);
+[[nodiscard]] Micros QuorumConfirmedAt(const State& aState, Micros aNow);
 
 /// \brief Earliest time at which Tick() has something to do.
 [[nodiscard]] Micros NextTick(const State& aState) noexcept;
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -96,7 +96,7 @@
   aState.mHeardLeaderAt = aNow;
   if (aMessage.has_append_request()) {
     const std::uint32_t age = aMessage.append_request().word_age_ms();
-    aState.mWordAt = aNow - static_cast<Micros>(age) * kMillisecond;
+    aState.mQuorumConfirmedAt = aNow - static_cast<Micros>(age) * kMillisecond;
   }
   ResetElection(aState, aNow, aRandom);
 }
@@ -375,10 +375,10 @@
 
 // The quorum replies to every heartbeat, so that no reply is missing until the
 // next one is due.
-Micros WordAt(const State& aState, Micros aNow)
+Micros QuorumConfirmedAt(const State& aState, Micros aNow)
 {
   if (!IsLeader(aState)) {
-    return aState.mWordAt;
+    return aState.mQuorumConfirmedAt;
   }
   const Micros heardAt = QuorumHeardAt(aState, aNow);
   return heardAt == 0 ? 0 : std::min(aNow, heardAt + aState.mRules.mHeartbeat);
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -47,8 +47,8 @@
   request.set_prev_term(*prevTerm);
   request.set_commit(aState.mCommit);
   request.set_round(aState.mRound);
-  request.set_word_age_ms(
-    static_cast<std::uint32_t>((aNow - WordAt(aState, aNow)) / kMillisecond));
+  request.set_word_age_ms(static_cast<std::uint32_t>(
+    (aNow - QuorumConfirmedAt(aState, aNow)) / kMillisecond));
   std::size_t remaining = aState.mRules.mEntriesPerMessage;
   while (remaining > 0 && progress.mNext <= LastIndex(aState)) {
     *request.add_entries() = *EntryAt(aState, progress.mNext);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -281,7 +281,7 @@
     return aState.mCurrentAt;
   }
   return consensus::IsCurrent(aState.mGroup)
-           ? consensus::WordAt(aState.mGroup, aNow)
+           ? consensus::QuorumConfirmedAt(aState.mGroup, aNow)
            : 0;
 }
 
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -201,7 +201,7 @@
   consensus::Receive(aState.mGroup, aNow, aRandom, aMessage, raft);
   if (aState.mGroup.mHeardLeaderAt == aNow &&
       consensus::IsCurrent(aState.mGroup)) {
-    aState.mCurrentAt = consensus::WordAt(aState.mGroup, aNow);
+    aState.mCurrentAt = consensus::QuorumConfirmedAt(aState.mGroup, aNow);
   }
   Perform(aState, aNow, std::move(raft), aOut);
 }
