--- a/examples/embed_consensus/main.cpp
+++ b/examples/embed_consensus/main.cpp
@@ -18,7 +18,8 @@
   for (const gp::wire::Peer& peer : peers) {
     gp::consensus::Recovered disk;
     disk.mHard.set_storage(gp::consensus::kFoundingStorage);
-    *disk.mSnapshot.mutable_membership() = gp::consensus::Founders(peers);
+    *disk.mSnapshot.mutable_membership() =
+      gp::consensus::InitialMembership(peers);
     members[peer.id()] = gp::consensus::Open(peer.id(), disk, 0, 1);
   }
 
@@ -29,7 +30,7 @@
     // A real embedder writes to its disk here, and calls Synced() afterwards.
     for (const gp::consensus::Write& write : aOutput.mWrites) {
       gp::consensus::Output synced;
-      gp::consensus::Synced(aMember, write.mSequence, synced);
+      gp::consensus::MarkSynced(aMember, write.mSequence, synced);
       for (auto& message : synced.mMessages) {
         network.push_back(message);
       }
--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -19,7 +19,7 @@
 ///
 /// A plain struct and free functions: no clock, thread, socket or file. The
 /// embedder passes in the time and random numbers, performs the writes in
-/// Output, and calls Synced() once they are on disk. Messages that promise
+/// Output, and calls MarkSynced() once they are on disk. Messages that promise
 /// durability are deferred until then.
 namespace geraniumpond::consensus {
 
@@ -206,16 +206,16 @@
 
 /// \brief Transfers leadership to the most up-to-date reachable voter that is
 /// not in `aExcept`.
-void Transfer(State& aState,
-              Micros aNow,
-              Output& aOut,
-              const std::set<std::string>& aExcept = {});
+void TransferLeadership(State& aState,
+                        Micros aNow,
+                        Output& aOut,
+                        const std::set<std::string>& aExcept = {});
 
 /// \brief Reports that all writes up to a sequence are on disk.
-void Synced(State& aState, std::uint64_t aSequence, Output& aOut);
+void MarkSynced(State& aState, std::uint64_t aSequence, Output& aOut);
 
 /// \brief Reports a disk failure; the member sends nothing from then on.
-void Failed(State& aState);
+void MarkFailed(State& aState);
 
 /// \brief Compacts the log: replaces its applied part by a snapshot.
 void TakeSnapshot(State& aState, std::string aAppliedState, Output& aOut);
@@ -252,12 +252,13 @@
 [[nodiscard]] std::size_t VoterCount(const wire::Membership& aMembers) noexcept;
 
 /// \brief The membership without one member.
-[[nodiscard]] wire::Membership Without(const wire::Membership& aMembers,
-                                       const std::string& aId);
+[[nodiscard]] wire::Membership WithoutMember(const wire::Membership& aMembers,
+                                             const std::string& aId);
 
 /// \brief Initial membership of a new group; all members share one storage
 /// name.
-[[nodiscard]] wire::Membership Founders(const std::vector<wire::Peer>& aPeers);
+[[nodiscard]] wire::Membership InitialMembership(
+  const std::vector<wire::Peer>& aPeers);
 
 /// \brief Storage name of the initial members' disks.
 constexpr const char* kFoundingStorage = "founding";
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -225,8 +225,8 @@
   return VoterCount(aState.mMembership) / 2 + 1;
 }
 
-wire::Membership Without(const wire::Membership& aMembers,
-                         const std::string& aId)
+wire::Membership WithoutMember(const wire::Membership& aMembers,
+                               const std::string& aId)
 {
   wire::Membership others;
   for (const wire::Member& member : aMembers.members()) {
@@ -360,7 +360,7 @@
   return entry.index();
 }
 
-void Failed(State& aState)
+void MarkFailed(State& aState)
 {
   aState.mFailed = true;
   aState.mRole = Role::Learner;
@@ -404,7 +404,7 @@
            : aState.mElectionAt;
 }
 
-wire::Membership Founders(const std::vector<wire::Peer>& aPeers)
+wire::Membership InitialMembership(const std::vector<wire::Peer>& aPeers)
 {
   wire::Membership membership;
   for (const wire::Peer& peer : aPeers) {
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -208,7 +208,7 @@
   }
 }
 
-void Synced(State& aState, std::uint64_t aSequence, Output& aOut)
+void MarkSynced(State& aState, std::uint64_t aSequence, Output& aOut)
 {
   if (aState.mFailed) {
     return;
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -236,9 +236,9 @@
     progress.mNext = std::max(progress.mMatch + 1,
                               std::min(reply.index(), LastIndex(aState) + 1));
     progress.mSnapshotSent = false;
-    // Without progress, leave the retry to the next heartbeat: a member that
-    // lost entries it had acknowledged would otherwise be sent requests as fast
-    // as the network allows.
+    // WithoutMember progress, leave the retry to the next heartbeat: a member
+    // that lost entries it had acknowledged would otherwise be sent requests as
+    // fast as the network allows.
     if (progress.mNext < before) {
       SendAppend(aState, *member, aNow, aOut);
     }
@@ -304,10 +304,10 @@
   return entry.index();
 }
 
-void Transfer(State& aState,
-              Micros aNow,
-              Output& aOut,
-              const std::set<std::string>& aExcept)
+void TransferLeadership(State& aState,
+                        Micros aNow,
+                        Output& aOut,
+                        const std::set<std::string>& aExcept)
 {
   if (aState.mRole != Role::Leader) {
     return;
--- a/src/edge/storage.cpp
+++ b/src/edge/storage.cpp
@@ -248,9 +248,10 @@
 Result<bool> InitFounder(const std::string& aFolder,
                          const wire::HostSettings& aSettings)
 {
-  return InitFounder(aFolder,
-                     consensus::Founders({ aSettings.voters().begin(),
-                                           aSettings.voters().end() }));
+  return InitFounder(
+    aFolder,
+    consensus::InitialMembership(
+      { aSettings.voters().begin(), aSettings.voters().end() }));
 }
 
 Result<bool> InitFounder(const std::string& aFolder,
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -31,7 +31,7 @@
     catalog::Load(aState.mGroup.mSnapshot.state());
   if (!loaded) {
     aOut.mNotes.push_back({ 3, "event=snapshot_unreadable" });
-    consensus::Failed(aState.mGroup);
+    consensus::MarkFailed(aState.mGroup);
     return;
   }
   aState.mCatalog = std::move(loaded.value());
@@ -203,7 +203,7 @@
 void Synced(State& aState, Micros aNow, std::uint64_t aSequence, Output& aOut)
 {
   consensus::Output raft;
-  consensus::Synced(aState.mGroup, aSequence, raft);
+  consensus::MarkSynced(aState.mGroup, aSequence, raft);
   Perform(aState, aNow, std::move(raft), aOut);
   TellThoseWhoAsked(aState, aNow, aOut);
 }
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -52,7 +52,7 @@
   Result<catalog::State> loaded = catalog::Load(aSnapshot.state());
   if (!loaded) {
     aOut.mNotes.push_back({ 3, "event=snapshot_unreadable" });
-    consensus::Failed(aState.mGroup);
+    consensus::MarkFailed(aState.mGroup);
     return;
   }
   aState.mCatalog = std::move(loaded.value());
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -369,7 +369,7 @@
     if (!member.voter() && CanBeDropped(view)) {
       Change(aState,
              aNow,
-             consensus::Without(members, member.id()),
+             consensus::WithoutMember(members, member.id()),
              "forgotten member=" + member.id(),
              aOut);
       return true;
@@ -504,7 +504,7 @@
     }
   }
   consensus::Output raft;
-  consensus::Transfer(aState.mGroup, aNow, raft, leaving);
+  consensus::TransferLeadership(aState.mGroup, aNow, raft, leaving);
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -71,7 +71,7 @@
   Result<control::State> loaded = control::Load(aSnapshot.state());
   if (!loaded) {
     aContext.Log(kError, "snapshot: " + loaded.error().mMessage);
-    consensus::Failed(state.mGroup);
+    consensus::MarkFailed(state.mGroup);
     return;
   }
   state.mControl = std::move(loaded.value());
@@ -219,7 +219,7 @@
 void TakeSync(Context& aContext, std::uint64_t aSequence)
 {
   consensus::Output output;
-  consensus::Synced(aContext.mState.mGroup, aSequence, output);
+  consensus::MarkSynced(aContext.mState.mGroup, aSequence, output);
   Drain(aContext, std::move(output));
 }
 
@@ -227,7 +227,7 @@
 {
   aContext.Log(kError, "disk: " + aReason + "; this host no longer votes");
   aContext.Count("disk_failures");
-  consensus::Failed(aContext.mState.mGroup);
+  consensus::MarkFailed(aContext.mState.mGroup);
 }
 
 void TakeJoin(Context& aContext, const wire::JoinRequest& aMessage)
@@ -251,7 +251,7 @@
       aContext.Log(kWarning,
                    "control member " + joiner.id() + " has a new disk");
       Change(aContext,
-             consensus::Without(state.mGroup.mMembership, joiner.id()));
+             consensus::WithoutMember(state.mGroup.mMembership, joiner.id()));
     }
     return;
   }
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -32,7 +32,7 @@
   }
   if (state.mSettings.control()) {
     consensus::Output output;
-    consensus::Transfer(state.mGroup, aContext.mNow, output);
+    consensus::TransferLeadership(state.mGroup, aContext.mNow, output);
     Drain(aContext, std::move(output));
   }
 }
--- a/tests/fakes/world.cpp
+++ b/tests/fakes/world.cpp
@@ -88,7 +88,8 @@
       *host.mSettings.add_voters() = voter;
     }
     host.mDisk.mHard.set_storage(consensus::kFoundingStorage);
-    *host.mDisk.mSnapshot.mutable_membership() = consensus::Founders(voters);
+    *host.mDisk.mSnapshot.mutable_membership() =
+      consensus::InitialMembership(voters);
   }
 }
 
