--- a/include/geraniumpond/gateway.h
+++ b/include/geraniumpond/gateway.h
@@ -13,30 +13,29 @@
 #include <variant>
 #include <vector>
 
-/// \brief One gateway host's reducer: requests of clients, announcements of
-/// targets, the operator's policy and the fleet, over one stream of events.
+/// \brief The reducer of one gateway host: turns events of clients, targets,
+/// operators and the fleet into effects.
 ///
 /// Step() reads no clock and no random source; the same events give the same
 /// effects.
 namespace geraniumpond::gateway {
 
-/// \brief Reads a policy document; its text is whatever an operator's
-/// interface takes.
+/// \brief Parses a policy document; the operator interface defines its format.
 using PolicyDecoder = Result<policy::TrafficPolicy> (*)(std::string_view);
 
-/// \brief What a gateway host is told at its start.
+/// \brief Settings of a gateway host.
 struct Settings
 {
   fleet::Settings mFleet;
   dispatch::Bounds mBounds;
   PolicyDecoder mDecodePolicy = nullptr;
-  /// Speed of the host's own link, in bytes a second.
+  /// Speed of the host's network link, in bytes per second.
   double mLinkBytesPerSecond = 125e6;
-  /// How long clients keep an answer of the directory.
+  /// Time for which clients cache a directory answer.
   Micros mAnswerKeep = 1200 * kMillisecond;
-  /// Some clients keep it this many times as long.
+  /// Some clients cache it for up to this many times as long.
   int mAnswerKeepTimes = 3;
-  /// Time from the request to stop until the process must have ended.
+  /// Time from a stop request until the process must have exited.
   Micros mStopGrace = 6 * kSecond;
 };
 
@@ -44,7 +43,7 @@
 
 struct TimePassed
 {
-  /// Bytes of answers wait for a client or for the link.
+  /// Parts of answers are still queued for a client or the link.
   bool mSending = false;
 };
 
@@ -63,14 +62,14 @@
   std::uint64_t mRequest = 0;
 };
 
-/// \brief A target says that it is there, or that it is about to leave.
+/// \brief A target announces itself, or that it is draining.
 struct Announce
 {
   std::uint64_t mOperation = 0;
   wire::TargetRecord mRecord;
 };
 
-/// \brief A target says that it takes no more work.
+/// \brief A target deregisters.
 struct Withdraw
 {
   std::uint64_t mOperation = 0;
@@ -86,11 +85,11 @@
 struct ReadPolicy
 {
   std::uint64_t mOperation = 0;
-  /// Its caller can be sent to another host.
+  /// The caller follows a redirect to another host.
   bool mMayBeSentOn = false;
 };
 
-/// \brief An operator lets a quarantined request go.
+/// \brief An operator releases a request from quarantine.
 struct ReleaseRequest
 {
   std::uint64_t mOperation = 0;
@@ -100,7 +99,7 @@
 struct StopRequested
 {};
 
-/// \brief Something that happened, when, and a random word.
+/// \brief An event with its time and a random number.
 struct Event
 {
   Micros mNow = 0;
@@ -123,21 +122,21 @@
 
 // ------------------------------------------------------------------- effects
 
-/// \brief How an operation ended, for whoever called it.
+/// \brief Outcome of an operation, as reported to its caller.
 enum class OperationEnd
 {
   Done,
-  /// The call itself is at fault.
+  /// The call is invalid.
   Invalid,
-  /// Another change came first.
+  /// The call conflicts with an earlier change.
   Conflict,
-  /// Not known to have been done; it may be asked again, of any host.
+  /// Not known to have taken effect; may be retried on any host.
   Unavailable,
-  /// The host at AnswerOperation::mElsewhere answers.
+  /// Redirected to the host at AnswerOperation::mElsewhere.
   Elsewhere
 };
 
-/// \brief Lower-case name of an end, as logs and answers have it.
+/// \brief Lower-case name of an outcome, as used in logs and answers.
 [[nodiscard]] const char* ToString(OperationEnd aEnd) noexcept;
 
 struct AnswerOperation
@@ -145,9 +144,9 @@
   std::uint64_t mOperation = 0;
   OperationEnd mEnd = OperationEnd::Unavailable;
   std::string mReason;
-  /// With a read: the policy as its operator wrote it.
+  /// For a read: the policy as its operator wrote it.
   std::string mDocument;
-  /// Peer address of the host that answers in place of this one.
+  /// With Elsewhere: peer address of the host that answers instead.
   std::string mElsewhere;
 };
 
@@ -179,7 +178,7 @@
 
 // --------------------------------------------------------------------- state
 
-/// \brief What a submitted command was for.
+/// \brief Kind of a submitted operation.
 enum class OperationKind
 {
   Announce,
@@ -188,17 +187,17 @@
   ReadPolicy
 };
 
-/// \brief An operation that waits for its command to commit.
+/// \brief An operation whose command is not yet committed.
 struct Operation
 {
   std::uint64_t mId = 0;
   OperationKind mKind = OperationKind::Announce;
   std::string mSubject;
-  /// A read that the leader is to answer itself.
+  /// A read whose caller is redirected to the leader.
   bool mElsewhere = false;
 };
 
-/// \brief A read that waits until this host holds the version it must show.
+/// \brief A read that waits until this host has the required policy version.
 struct WaitingRead
 {
   std::uint64_t mOperation = 0;
@@ -206,7 +205,7 @@
   Micros mGiveUpAt = 0;
 };
 
-/// \brief Everything that one gateway host knows.
+/// \brief State of one gateway host.
 struct State
 {
   Settings mSettings;
@@ -217,9 +216,9 @@
   Micros mStartedAt = 0;
   Micros mHostsCountedAt = 0;
   Micros mMostHostsAt = 0;
-  /// Draws the hosts of an answer where there are more than places.
+  /// Shuffles the addresses of directory answers.
   std::mt19937_64 mShuffle;
-  /// No policy is in force before the group's word.
+  /// The policy is not applied before the control group has confirmed it.
   bool mHoldsPolicy = false;
   bool mStopping = false;
   Micros mStopAt = 0;
@@ -227,28 +226,28 @@
   bool mExited = false;
 };
 
-/// \brief Starts a host from what its disk holds.
+/// \brief Starts a host from its persistent state.
 [[nodiscard]] State Open(const Settings& aSettings,
                          const consensus::Recovered& aRecovered,
                          Micros aNow,
                          std::uint64_t aRandom,
                          Effects& aOut);
 
-/// \brief Takes one event; the only function that changes a State.
+/// \brief Processes one event.
 [[nodiscard]] Effects Step(State& aState, const Event& aEvent);
 
 /// \brief Earliest time at which TimePassed has something to do.
 [[nodiscard]] Micros NextTick(const State& aState) noexcept;
 
-/// \brief True while clients may be sent here.
+/// \brief True while clients may be directed to this host.
 [[nodiscard]] bool IsReady(const State& aState) noexcept;
 
-/// \brief Peer address of the host that should answer a reader of the policy in
-/// place of this one; empty when this host answers itself. Whether it is there
-/// is known once it has answered.
+/// \brief Peer address of the host to which a read of the policy should be
+/// redirected; empty when this host answers itself. That host is known to be
+/// reachable only once it has answered.
 [[nodiscard]] std::string PolicyReader(const State& aState, Micros aNow);
 
-/// \brief Addresses that a client of this data centre is given.
+/// \brief Gateway addresses returned to a client in a data centre.
 [[nodiscard]] std::vector<std::string>
 AddressesFor(State& aState, const std::string& aDataCentre, Micros aNow);
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -236,7 +236,7 @@
     progress.mNext = std::max(progress.mMatch + 1,
                               std::min(reply.index(), LastIndex(aState) + 1));
     progress.mSnapshotSent = false;
-    // WithoutMember progress, leave the retry to the next heartbeat: a member
+    // Without progress, leave the retry to the next heartbeat: a member
     // that lost entries it had acknowledged would otherwise be sent requests as
     // fast as the network allows.
     if (progress.mNext < before) {
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -2,40 +2,41 @@
 
 #include <algorithm>
 
-// Where clients and readers of the policy are sent.
+// Which hosts clients and policy reads are directed to.
 namespace geraniumpond::gateway {
 
 namespace {
 
-/// Addresses that a client is given, and how many of them are in its own data
-/// centre where there are enough.
+/// Addresses returned to a client, and how many of them at least are in its own
+/// data centre where it has that many ready hosts.
 constexpr std::size_t kAddresses = 5;
 constexpr std::size_t kLocalAddresses = 2;
-/// A policy that takes longer than this to leave over the own link is read from
-/// the leader: operators wait a second for an answer, and the link also carries
-/// clients' answers, which would wait behind it.
+/// A policy that takes longer than this to send over this host's link is read
+/// from the leader: operators wait one second for an answer, and the document
+/// would delay clients' answers on the same link.
 constexpr Micros kLongestDocumentTime = 100 * kMillisecond;
 
 } // namespace
 
-// Hosts with a disk answer reads themselves: their links are the fast ones, and
-// a leader that is out of reach must not take the others with it.
+// Control hosts answer reads themselves: their links are fast, and an
+// unreachable leader must not make reads fail on the other hosts.
 std::string PolicyReader(const State& aState, Micros aNow)
 {
   const fleet::State& fleet = aState.mFleet;
   const double seconds = static_cast<double>(fleet.mCatalog.mDocument.size()) /
                          std::max(1.0, aState.mSettings.mLinkBytesPerSecond);
   const bool slow = seconds * kSecond > kLongestDocumentTime;
-  const bool elsewhere = slow && !fleet.mSettings.mControl &&
-                         fleet::IsInTouch(fleet, aNow) &&
-                         fleet.mLeaderAddress != fleet.mSettings.mPeerAddress;
-  return elsewhere ? fleet.mLeaderAddress : "";
+  const bool redirect = slow && !fleet.mSettings.mControl &&
+                        fleet::IsInTouch(fleet, aNow) &&
+                        fleet.mLeaderAddress != fleet.mSettings.mPeerAddress;
+  return redirect ? fleet.mLeaderAddress : "";
 }
 
-// A host that has lost power costs every client that holds its address one
-// request, since a connect to it hangs: few addresses make few such clients.
-// They lie in several data centres, for a client whose own one is lost gets no
-// newer answer. Each answer draws anew, so that load spreads evenly.
+// A host that loses power costs each client that has its address one request,
+// since the connection attempt hangs; with few addresses per answer, few
+// clients have it. The addresses span several data centres, because a client
+// that loses its own data centre cannot get a new answer. Each answer is
+// shuffled anew to spread the load evenly.
 std::vector<std::string> AddressesFor(State& aState,
                                       const std::string& aDataCentre,
                                       Micros aNow)
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// The number of hosts is taken over at this pace.
+/// Interval at which the number of live hosts is updated.
 constexpr Micros kCountInterval = 500 * kMillisecond;
-/// Hosts that start together have all been heard of by then: they report at a
-/// pace of 0.4 s, and a list goes over a few relays.
+/// Time after a start until all hosts that started together are known: they
+/// report every 0.4 s, and a host list passes through a few relays.
 constexpr Micros kLearnHosts = 3 * kSecond;
-/// Part of the stop's time that is left unused, for the process's own end.
+/// Part of the stop grace period reserved for the process to exit.
 constexpr Micros kStopReserve = 800 * kMillisecond;
-/// The same while answers are still being sent: what is left then is lost.
+/// The same while answers are still being sent; whatever remains is cut off.
 constexpr Micros kSendingReserve = 300 * kMillisecond;
-/// How long after a start requests may wait for the first policy.
+/// Time after a start during which requests may wait for the first policy.
 constexpr Micros kPolicyExpected = 1 * kSecond;
 
 void Append(Context& aContext, dispatch::Effects aEffects)
@@ -100,7 +100,8 @@
   for (const fleet::Note& note : aFleet.mNotes) {
     aContext.Log(note.mLevel, note.mText);
   }
-  // Writes come before messages: none of these promises what is not written.
+  // Writes come before messages, so that no message promises data that has not
+  // been written.
   for (consensus::Write& write : aFleet.mWrites) {
     aContext.mOut.emplace_back(Persist{ std::move(write) });
   }
@@ -115,11 +116,11 @@
 
 namespace {
 
-// The disk may hold an older policy than the group has acknowledged, a log that
-// catches up goes through older ones, and so may what an upstream tells that
-// has just started itself: requests would be denied or run where they no longer
-// should, for as long as the group is away. One that is refused comes back,
-// mostly to another host.
+// Until the control group has confirmed it, the policy may be outdated: it may
+// come from the disk, from a log that is still being replayed, or from an
+// upstream that has just started. Applying it would deny requests or route them
+// to the wrong targets for as long as the group is unreachable. A refused
+// request is retried, usually on another host.
 void ReleaseHeldPolicy(Context& aContext)
 {
   State& state = aContext.mState;
@@ -149,8 +150,8 @@
   TakeFleet(aContext, std::move(output));
 }
 
-// Clients come for as long as they may hold an answer with this host's
-// address; nothing that is in flight is cut before the time is up.
+// Clients keep sending requests for as long as they may have cached this host's
+// address. Requests in flight are not cut off before the exit deadline.
 Micros QuietFrom(const State& aState)
 {
   const Settings& settings = aState.mSettings;
@@ -171,8 +172,8 @@
   if (!state.mStopping || state.mExited) {
     return;
   }
-  // A request has ended for the reducer when its answer is handed over; a
-  // large one takes seconds on a slow link.
+  // For the reducer a request ends when its answer is handed over for sending;
+  // a large answer then takes seconds on a slow link.
   const bool idle = dispatch::RunningRequests(state.mDispatch) == 0 &&
                     state.mOperations.empty() && !state.mSending;
   if ((aContext.mNow >= QuietFrom(state) && idle) ||
@@ -186,8 +187,8 @@
   }
 }
 
-// Limits of targets, and trials of requests, are divided among the hosts that
-// take clients.
+// The limits of targets and the trials of suspected requests are divided among
+// the hosts that accept clients.
 void CountSharers(Context& aContext)
 {
   State& state = aContext.mState;
@@ -203,9 +204,9 @@
   dispatch::SetSharers(state.mDispatch, aContext.mNow, std::move(sharers));
 }
 
-// Bounds that all hosts share hold over a window: within one the largest number
-// counts, so that hosts which are lost for a moment, or out of sight, do not
-// make the others take their shares.
+// Shared bounds apply over a window. The largest host count within the window
+// is used, so that hosts which are briefly down or unreachable do not make the
+// others take over their shares.
 void CountHosts(Context& aContext)
 {
   State& state = aContext.mState;
@@ -247,7 +248,7 @@
   Append(aContext, std::move(effects));
 }
 
-/// \brief Takes each kind of event.
+/// \brief Visitor that processes each kind of event.
 struct Taker
 {
   Context& mContext;
--- a/src/gateway/internal.h
+++ b/src/gateway/internal.h
@@ -2,10 +2,10 @@
 
 #include <geraniumpond/gateway.h>
 
-/// \brief Steps that the gateway's sources share.
+/// \brief Functions shared by the gateway sources.
 namespace geraniumpond::gateway {
 
-/// \brief What one step works on.
+/// \brief State, time and effects of one step.
 struct Context
 {
   State& mState;
@@ -20,18 +20,18 @@
 
 // --- gateway.cpp
 
-/// \brief Takes what a call of the fleet asks for over into the effects.
+/// \brief Applies the output of a fleet call and appends its effects.
 void TakeFleet(Context& aContext, fleet::Output aFleet);
 
-// --- operations.cpp: calls of targets and operators
+// --- operations.cpp: calls from targets and operators
 
 void TakeAnnounce(Context& aContext, const Announce& aCall);
 void TakeWithdraw(Context& aContext, const Withdraw& aCall);
 void TakePutPolicy(Context& aContext, const PutPolicy& aCall);
 void TakeReadPolicy(Context& aContext, const ReadPolicy& aCall);
-/// \brief Answers the call whose command has ended.
+/// \brief Answers the call whose command has completed.
 void EndOperation(Context& aContext, const fleet::Done& aDone);
-/// \brief Answers reads whose version this host holds, or whose time is up.
+/// \brief Answers waiting reads whose version has arrived or that timed out.
 void AnswerReads(Context& aContext);
 
 } // namespace geraniumpond::gateway
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -4,14 +4,14 @@
 #include <limits>
 #include <optional>
 
-// Calls of targets and operators: each becomes a command for the control group,
-// and is answered when that has ended.
+// Calls from targets and operators: each is submitted to the control group as a
+// command and answered when the command completes.
 namespace geraniumpond::gateway {
 
 namespace {
 
-/// Callers move on to another host after a second without an answer; an answer
-/// of ours comes before.
+/// Callers try another host after one second without an answer, so this host
+/// answers before that.
 constexpr Micros kOperationPatience = 850 * kMillisecond;
 
 constexpr std::array<const char*, 5> kEndNames = {
@@ -67,8 +67,8 @@
          (age ? std::to_string(*age / kMillisecond) : std::string("none"));
 }
 
-// The leader's word on what is the newest policy; where it is here already, or
-// came along, the read ends with it.
+// The outcome carries the leader's policy version. The read completes now if
+// this host has that version or the leader sent the policy along.
 void EndRead(Context& aContext,
              const Operation& aOperation,
              const fleet::Done& aDone)
@@ -92,8 +92,8 @@
     answer.mEnd = OperationEnd::Done;
     answer.mDocument = catalog.mDocument;
   } else if (!aDone.mPolicy) {
-    // A leader of an earlier version names itself to nobody and sends no policy
-    // along.
+    // A leader that runs an earlier release neither gives its address nor sends
+    // the policy.
     state.mReads.push_back({ aOperation.mId, version, aDone.mRead.mGiveUpAt });
     return;
   } else if (Result<std::string> document =
@@ -166,7 +166,7 @@
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
   if (!catalog::IsNews(catalog, aCall.mRecord)) {
-    // Renewals of what every host knows are not worth a line each.
+    // Renewals that change nothing are not logged.
     aContext.mOut.emplace_back(
       AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
     return;
@@ -190,8 +190,9 @@
       AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
     return;
   }
-  // Whoever tells its birth says which incarnation leaves: a removal without
-  // it comes from elsewhere, and acknowledging it would bind every host.
+  // The birth time identifies the incarnation that leaves. A removal without it
+  // does not come from a target that announced one, and accepting it would
+  // remove the target on every host.
   const auto known = catalog.mTargets.find(removal.id());
   if (known != catalog.mTargets.end() && removal.born_ms() == 0 &&
       known->second.born_ms() != 0) {
