--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -222,7 +222,7 @@
 
 /// \brief True when Rules::mSnapshotInterval entries were applied since the
 /// last snapshot.
-[[nodiscard]] bool WantsSnapshot(const State& aState) noexcept;
+[[nodiscard]] bool NeedsSnapshot(const State& aState) noexcept;
 
 /// \brief True while this member is the leader and its disk works. Tick() ends
 /// leadership that no quorum has confirmed for Rules::mElectionMax.
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -192,7 +192,7 @@
   WriteSnapshot(aState, aOut);
 }
 
-bool WantsSnapshot(const State& aState) noexcept
+bool NeedsSnapshot(const State& aState) noexcept
 {
   return aState.mApplied >=
          aState.mSnapshot.index() + aState.mRules.mSnapshotInterval;
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -115,7 +115,7 @@
 void TakeSnapshotIfDue(State& aState, Micros aNow, Output& aOut)
 {
   if (aState.mLogBytes < kSnapshotBytes &&
-      !consensus::WantsSnapshot(aState.mGroup)) {
+      !consensus::NeedsSnapshot(aState.mGroup)) {
     return;
   }
   aState.mLogBytes = 0;
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -103,7 +103,7 @@
 {
   const std::uint64_t entries =
     aState.mGroup.mApplied - aState.mGroup.mSnapshot.index();
-  return consensus::WantsSnapshot(aState.mGroup) &&
+  return consensus::NeedsSnapshot(aState.mGroup) &&
          entries >= aState.mControl.mKeys.mRecords.size() / 2;
 }
 
