--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,14 +18,14 @@
 /// Time after a start during which requests may wait for the first policy.
 constexpr Micros kPolicyExpected = 1 * kSecond;
 
-void Append(Context& aContext, dispatch::Effects aEffects)
+void AppendEffects(Context& aContext, dispatch::Effects aEffects)
 {
   for (dispatch::Effect& effect : aEffects) {
     if (auto* tell = std::get_if<dispatch::TellFleet>(&effect)) {
       fleet::Output output;
       fleet::Tell(
         aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
-      TakeFleet(aContext, std::move(output));
+      ApplyFleetOutput(aContext, std::move(output));
       continue;
     }
     std::visit(
@@ -39,7 +39,7 @@
   }
 }
 
-void TakePolicy(Context& aContext, fleet::Output& aFleet)
+void ApplyNewPolicy(Context& aContext, fleet::Output& aFleet)
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
@@ -75,27 +75,27 @@
 
 } // namespace
 
-void TakeFleet(Context& aContext, fleet::Output aFleet)
+void ApplyFleetOutput(Context& aContext, fleet::Output aFleet)
 {
   State& state = aContext.mState;
   if (aFleet.mPolicyChanged) {
-    TakePolicy(aContext, aFleet);
+    ApplyNewPolicy(aContext, aFleet);
   }
   if (aFleet.mTargetsChanged) {
     dispatch::Effects effects;
     dispatch::SetTargets(
       state.mDispatch, aContext.mNow, state.mFleet.mCatalog.mTargets, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   if (aFleet.mPolicyChanged) {
     dispatch::Effects effects;
     dispatch::AdmitUnrouted(state.mDispatch, aContext.mNow, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   for (const gossip::Item& item : aFleet.mNews) {
     dispatch::Effects effects;
     dispatch::TakeGossip(state.mDispatch, aContext.mNow, item, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   for (const fleet::Note& note : aFleet.mNotes) {
     aContext.Log(note.mLevel, note.mText);
@@ -109,7 +109,7 @@
     aContext.mOut.emplace_back(SendPeer{ address, std::move(message) });
   }
   for (const fleet::Done& done : aFleet.mDone) {
-    EndOperation(aContext, done);
+    CompleteOperation(aContext, done);
   }
   AnswerReads(aContext);
 }
@@ -121,7 +121,7 @@
 // upstream that has just started. Applying it would deny requests or route them
 // to the wrong targets for as long as the group is unreachable. A refused
 // request is retried, usually on another host.
-void ReleaseHeldPolicy(Context& aContext)
+void ApplyWithheldPolicy(Context& aContext)
 {
   State& state = aContext.mState;
   if (!state.mHoldsPolicy ||
@@ -131,10 +131,10 @@
   state.mHoldsPolicy = false;
   fleet::Output output;
   output.mPolicyChanged = true;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
-void TakeStop(Context& aContext)
+void HandleStop(Context& aContext)
 {
   State& state = aContext.mState;
   if (state.mStopping) {
@@ -147,12 +147,12 @@
                  std::to_string(dispatch::RunningRequests(state.mDispatch)));
   fleet::Output output;
   fleet::BeginStop(state.mFleet, aContext.mNow, output);
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
 // Clients keep sending requests for as long as they may have cached this host's
 // address. Requests in flight are not cut off before the exit deadline.
-Micros QuietFrom(const State& aState)
+Micros EarliestExit(const State& aState)
 {
   const Settings& settings = aState.mSettings;
   const Micros held = settings.mAnswerKeep * settings.mAnswerKeepTimes;
@@ -160,7 +160,7 @@
          std::min(held + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
 }
 
-Micros LastMoment(const State& aState)
+Micros ExitDeadline(const State& aState)
 {
   return aState.mStopAt + aState.mSettings.mStopGrace -
          (aState.mSending ? kSendingReserve : kStopReserve);
@@ -176,8 +176,8 @@
   // a large answer then takes seconds on a slow link.
   const bool idle = dispatch::RunningRequests(state.mDispatch) == 0 &&
                     state.mOperations.empty() && !state.mSending;
-  if ((aContext.mNow >= QuietFrom(state) && idle) ||
-      aContext.mNow >= LastMoment(state)) {
+  if ((aContext.mNow >= EarliestExit(state) && idle) ||
+      aContext.mNow >= ExitDeadline(state)) {
     state.mExited = true;
     aContext.Log(1,
                  "event=stopped requests_cut=" +
@@ -189,7 +189,7 @@
 
 // The limits of targets and the trials of suspected requests are divided among
 // the hosts that accept clients.
-void CountSharers(Context& aContext)
+void UpdateSharers(Context& aContext)
 {
   State& state = aContext.mState;
   rate_share::Members sharers;
@@ -207,7 +207,7 @@
 // Shared bounds apply over a window. The largest host count within the window
 // is used, so that hosts which are briefly down or unreachable do not make the
 // others take over their shares.
-void CountHosts(Context& aContext)
+void UpdateHostCount(Context& aContext)
 {
   State& state = aContext.mState;
   if (aContext.mNow < state.mHostsCountedAt + kCountInterval) {
@@ -215,7 +215,7 @@
   }
   state.mHostsCountedAt = aContext.mNow;
   state.mDispatch.mKnowsHosts = aContext.mNow >= state.mStartedAt + kLearnHosts;
-  CountSharers(aContext);
+  UpdateSharers(aContext);
   const int hosts = fleet::LiveHosts(state.mFleet, aContext.mNow);
   const Micros window = state.mSettings.mBounds.mExtraWindow;
   if (hosts >= state.mDispatch.mHosts) {
@@ -228,16 +228,16 @@
   }
 }
 
-void TakeTime(Context& aContext, std::uint64_t aRandom)
+void HandleTimePassed(Context& aContext, std::uint64_t aRandom)
 {
   State& state = aContext.mState;
   dispatch::Effects effects;
   dispatch::Tick(state.mDispatch, aContext.mNow, effects);
-  Append(aContext, std::move(effects));
+  AppendEffects(aContext, std::move(effects));
   fleet::Output output;
   fleet::Tick(state.mFleet, aContext.mNow, aRandom, output);
-  TakeFleet(aContext, std::move(output));
-  CountHosts(aContext);
+  ApplyFleetOutput(aContext, std::move(output));
+  UpdateHostCount(aContext);
 }
 
 template<class Function>
@@ -245,11 +245,11 @@
 {
   dispatch::Effects effects;
   aFunction(effects);
-  Append(aContext, std::move(effects));
+  AppendEffects(aContext, std::move(effects));
 }
 
 /// \brief Visitor that processes each kind of event.
-struct Taker
+struct EventHandler
 {
   Context& mContext;
   std::uint64_t mRandom;
@@ -257,21 +257,21 @@
   void operator()(const TimePassed& aEvent)
   {
     mContext.mState.mSending = aEvent.mSending;
-    TakeTime(mContext, mRandom);
+    HandleTimePassed(mContext, mRandom);
   }
   void operator()(const PeerMessage& aEvent)
   {
     fleet::Output output;
     fleet::Receive(
       mContext.mState.mFleet, mContext.mNow, mRandom, aEvent.mMessage, output);
-    TakeFleet(mContext, std::move(output));
+    ApplyFleetOutput(mContext, std::move(output));
   }
   void operator()(const DiskSynced& aEvent)
   {
     fleet::Output output;
     fleet::Synced(
       mContext.mState.mFleet, mContext.mNow, aEvent.mSequence, output);
-    TakeFleet(mContext, std::move(output));
+    ApplyFleetOutput(mContext, std::move(output));
   }
   void operator()(const dispatch::Arrival& aEvent)
   {
@@ -302,12 +302,15 @@
         mContext.mState.mDispatch, mContext.mNow, aEvent.mRequest, aOut);
     });
   }
-  void operator()(const Announce& aEvent) { TakeAnnounce(mContext, aEvent); }
-  void operator()(const Withdraw& aEvent) { TakeWithdraw(mContext, aEvent); }
-  void operator()(const PutPolicy& aEvent) { TakePutPolicy(mContext, aEvent); }
+  void operator()(const Announce& aEvent) { HandleAnnounce(mContext, aEvent); }
+  void operator()(const Withdraw& aEvent) { HandleWithdraw(mContext, aEvent); }
+  void operator()(const PutPolicy& aEvent)
+  {
+    HandlePutPolicy(mContext, aEvent);
+  }
   void operator()(const ReadPolicy& aEvent)
   {
-    TakeReadPolicy(mContext, aEvent);
+    HandleReadPolicy(mContext, aEvent);
   }
   void operator()(const ReleaseRequest& aEvent)
   {
@@ -320,7 +323,7 @@
     });
     mContext.mOut.emplace_back(std::move(answer));
   }
-  void operator()(const StopRequested&) { TakeStop(mContext); }
+  void operator()(const StopRequested&) { HandleStop(mContext); }
 };
 
 } // namespace
@@ -347,7 +350,7 @@
     fleet::Open(aSettings.mFleet, aRecovered, aNow, aRandom, output);
   Context context{ state, aNow, aOut };
   state.mHoldsPolicy = true;
-  TakeFleet(context, std::move(output));
+  ApplyFleetOutput(context, std::move(output));
   return state;
 }
 
@@ -355,8 +358,8 @@
 {
   Effects effects;
   Context context{ aState, aEvent.mNow, effects };
-  std::visit(Taker{ context, aEvent.mRandom }, aEvent.mBody);
-  ReleaseHeldPolicy(context);
+  std::visit(EventHandler{ context, aEvent.mRandom }, aEvent.mBody);
+  ApplyWithheldPolicy(context);
   ContinueStop(context);
   return effects;
 }
@@ -369,7 +372,7 @@
     next = std::min(next, read.mGiveUpAt);
   }
   if (aState.mStopping) {
-    next = std::min(next, LastMoment(aState));
+    next = std::min(next, ExitDeadline(aState));
   }
   return next;
 }
--- a/src/gateway/internal.h
+++ b/src/gateway/internal.h
@@ -21,16 +21,16 @@
 // --- gateway.cpp
 
 /// \brief Applies the output of a fleet call and appends its effects.
-void TakeFleet(Context& aContext, fleet::Output aFleet);
+void ApplyFleetOutput(Context& aContext, fleet::Output aFleet);
 
 // --- operations.cpp: calls from targets and operators
 
-void TakeAnnounce(Context& aContext, const Announce& aCall);
-void TakeWithdraw(Context& aContext, const Withdraw& aCall);
-void TakePutPolicy(Context& aContext, const PutPolicy& aCall);
-void TakeReadPolicy(Context& aContext, const ReadPolicy& aCall);
+void HandleAnnounce(Context& aContext, const Announce& aCall);
+void HandleWithdraw(Context& aContext, const Withdraw& aCall);
+void HandlePutPolicy(Context& aContext, const PutPolicy& aCall);
+void HandleReadPolicy(Context& aContext, const ReadPolicy& aCall);
 /// \brief Answers the call whose command has completed.
-void EndOperation(Context& aContext, const fleet::Done& aDone);
+void CompleteOperation(Context& aContext, const fleet::Done& aDone);
 /// \brief Answers waiting reads whose version has arrived or that timed out.
 void AnswerReads(Context& aContext);
 
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -42,16 +42,16 @@
   return names[static_cast<std::size_t>(aKind)];
 }
 
-void SubmitFor(Context& aContext,
-               const Operation& aOperation,
-               const wire::CatalogCommand& aCommand)
+void SubmitCommand(Context& aContext,
+                   const Operation& aOperation,
+                   const wire::CatalogCommand& aCommand)
 {
   State& state = aContext.mState;
   fleet::Output output;
   const std::uint64_t id = fleet::Submit(
     state.mFleet, aContext.mNow, aCommand, kOperationPatience, output);
   state.mOperations[id] = aOperation;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
 std::string Describe(const fleet::ReadTrace& aRead,
@@ -69,9 +69,9 @@
 
 // The outcome carries the leader's policy version. The read completes now if
 // this host has that version or the leader sent the policy along.
-void EndRead(Context& aContext,
-             const Operation& aOperation,
-             const fleet::Done& aDone)
+void CompleteRead(Context& aContext,
+                  const Operation& aOperation,
+                  const fleet::Done& aDone)
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
@@ -113,7 +113,7 @@
   return kEndNames[static_cast<std::size_t>(aEnd)];
 }
 
-void EndOperation(Context& aContext, const fleet::Done& aDone)
+void CompleteOperation(Context& aContext, const fleet::Done& aDone)
 {
   State& state = aContext.mState;
   const auto found = state.mOperations.find(aDone.mId);
@@ -124,7 +124,7 @@
   state.mOperations.erase(found);
   const bool committed = aDone.mEnd == fleet::SubmitEnd::Committed;
   if (operation.mKind == OperationKind::ReadPolicy) {
-    EndRead(aContext, operation, aDone);
+    CompleteRead(aContext, operation, aDone);
     return;
   }
   AnswerOperation answer{ operation.mId, OperationEnd::Done, "", "", "" };
@@ -162,7 +162,7 @@
   }
 }
 
-void TakeAnnounce(Context& aContext, const Announce& aCall)
+void HandleAnnounce(Context& aContext, const Announce& aCall)
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
   if (!catalog::IsNews(catalog, aCall.mRecord)) {
@@ -177,11 +177,11 @@
     "target=" + aCall.mRecord.id() +
     " sequence=" + std::to_string(aCall.mRecord.sequence()) +
     (aCall.mRecord.draining() ? " draining" : " ready");
-  SubmitFor(
+  SubmitCommand(
     aContext, { aCall.mOperation, OperationKind::Announce, subject }, command);
 }
 
-void TakeWithdraw(Context& aContext, const Withdraw& aCall)
+void HandleWithdraw(Context& aContext, const Withdraw& aCall)
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
   const wire::RemoveTarget& removal = aCall.mRemoval;
@@ -204,13 +204,13 @@
   }
   wire::CatalogCommand command;
   *command.mutable_remove_target() = removal;
-  SubmitFor(
+  SubmitCommand(
     aContext,
     { aCall.mOperation, OperationKind::Withdraw, "target=" + removal.id() },
     command);
 }
 
-void TakePutPolicy(Context& aContext, const PutPolicy& aCall)
+void HandlePutPolicy(Context& aContext, const PutPolicy& aCall)
 {
   State& state = aContext.mState;
   const Result<policy::TrafficPolicy> decoded =
@@ -232,15 +232,15 @@
   const wire::PutPolicy change = catalog::MakeChange(
     decoded.value().mVersion, decoded.value().mBaseVersion, aCall.mDocument);
   *command.mutable_put_policy() = change;
-  SubmitFor(aContext,
-            { aCall.mOperation,
-              OperationKind::PutPolicy,
-              "version=" + std::to_string(change.version()) +
-                " base=" + std::to_string(change.base_version()) },
-            command);
+  SubmitCommand(aContext,
+                { aCall.mOperation,
+                  OperationKind::PutPolicy,
+                  "version=" + std::to_string(change.version()) +
+                    " base=" + std::to_string(change.base_version()) },
+                command);
 }
 
-void TakeReadPolicy(Context& aContext, const ReadPolicy& aCall)
+void HandleReadPolicy(Context& aContext, const ReadPolicy& aCall)
 {
   State& state = aContext.mState;
   Operation operation{ aCall.mOperation, OperationKind::ReadPolicy, "" };
@@ -253,7 +253,7 @@
   const std::uint64_t id =
     fleet::Read(state.mFleet, aContext.mNow, known, output);
   state.mOperations[id] = operation;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
 } // namespace geraniumpond::gateway
