--- a/include/geraniumpond/gateway.h
+++ b/include/geraniumpond/gateway.h
@@ -123,7 +123,7 @@
 // ------------------------------------------------------------------- effects
 
 /// \brief Outcome of an operation, as reported to its caller.
-enum class OperationEnd
+enum class OperationOutcome
 {
   Done,
   /// The call is invalid.
@@ -137,12 +137,12 @@
 };
 
 /// \brief Lower-case name of an outcome, as used in logs and answers.
-[[nodiscard]] const char* ToString(OperationEnd aEnd) noexcept;
+[[nodiscard]] const char* ToString(OperationOutcome aEnd) noexcept;
 
 struct AnswerOperation
 {
   std::uint64_t mOperation = 0;
-  OperationEnd mEnd = OperationEnd::Unavailable;
+  OperationOutcome mEnd = OperationOutcome::Unavailable;
   std::string mReason;
   /// For a read: the policy as its operator wrote it.
   std::string mDocument;
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -119,7 +119,7 @@
 void GatewayProcess::PerformOne(gateway::AnswerOperation& aEffect)
 {
   const auto url = mReadUrls.find(aEffect.mOperation);
-  const bool elsewhere = aEffect.mEnd == gateway::OperationEnd::Elsewhere;
+  const bool elsewhere = aEffect.mEnd == gateway::OperationOutcome::Elsewhere;
   AnswerCall(aEffect.mOperation,
              elsewhere && url != mReadUrls.end()
                ? RedirectTo(aEffect.mElsewhere, url->second)
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/own_dialect.cpp
@@ -113,17 +113,17 @@
 
 HttpResponse WriteEnd(const gateway::AnswerOperation& aEnd)
 {
-  using gateway::OperationEnd;
-  if (aEnd.mEnd == OperationEnd::Done) {
+  using gateway::OperationOutcome;
+  if (aEnd.mEnd == OperationOutcome::Done) {
     return MakeResponse(200, "text/plain", aEnd.mDocument);
   }
   Object error;
   error.set("error", gateway::ToString(aEnd.mEnd));
   error.set("message", aEnd.mReason);
   int status = 503;
-  if (aEnd.mEnd == OperationEnd::Invalid) {
+  if (aEnd.mEnd == OperationOutcome::Invalid) {
     status = 400;
-  } else if (aEnd.mEnd == OperationEnd::Conflict) {
+  } else if (aEnd.mEnd == OperationOutcome::Conflict) {
     status = 409;
   }
   return MakeResponse(status, kJson, ToText(error));
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -314,11 +314,14 @@
   }
   void operator()(const ReleaseRequest& aEvent)
   {
-    AnswerOperation answer{ aEvent.mOperation, OperationEnd::Done, "", "", "" };
+    AnswerOperation answer{
+      aEvent.mOperation, OperationOutcome::Done, "", "", ""
+    };
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
       const bool released = dispatch::ReleaseRequest(
         mContext.mState.mDispatch, mContext.mNow, aEvent.mIdentity, aOut);
-      answer.mEnd = released ? OperationEnd::Done : OperationEnd::Invalid;
+      answer.mEnd =
+        released ? OperationOutcome::Done : OperationOutcome::Invalid;
       answer.mReason = released ? "" : "no such request is suspected";
     });
     mContext.mOut.emplace_back(std::move(answer));
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -14,14 +14,14 @@
 /// answers before that.
 constexpr Micros kOperationPatience = 850 * kMillisecond;
 
-constexpr std::array<const char*, 5> kEndNames = {
+constexpr std::array<const char*, 5> kOutcomeNames = {
   "done", "invalid", "conflict", "unavailable", "elsewhere",
 };
 
 void Answer(Context& aContext, AnswerOperation aAnswer, const char* aWhat)
 {
-  const bool good = aAnswer.mEnd == OperationEnd::Done ||
-                    aAnswer.mEnd == OperationEnd::Elsewhere;
+  const bool good = aAnswer.mEnd == OperationOutcome::Done ||
+                    aAnswer.mEnd == OperationOutcome::Elsewhere;
   aContext.Log(
     good ? 1 : 2,
     std::string("event=") + aWhat + " outcome=" + ToString(aAnswer.mEnd) +
@@ -76,7 +76,7 @@
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
   AnswerOperation answer{
-    aOperation.mId, OperationEnd::Unavailable, "", "", ""
+    aOperation.mId, OperationOutcome::Unavailable, "", "", ""
   };
   answer.mReason = Describe(aDone.mRead, state, aContext.mNow);
   const std::uint64_t version = aDone.mOutcome.version();
@@ -86,10 +86,10 @@
   } else if (version == 0) {
     answer.mReason += ", no policy yet";
   } else if (aOperation.mElsewhere && !aDone.mRead.mLeader.empty()) {
-    answer.mEnd = OperationEnd::Elsewhere;
+    answer.mEnd = OperationOutcome::Elsewhere;
     answer.mElsewhere = aDone.mRead.mLeader;
   } else if (catalog.mVersion >= version) {
-    answer.mEnd = OperationEnd::Done;
+    answer.mEnd = OperationOutcome::Done;
     answer.mDocument = catalog.mDocument;
   } else if (!aDone.mPolicy) {
     // A leader that runs an earlier release neither gives its address nor sends
@@ -98,7 +98,7 @@
     return;
   } else if (Result<std::string> document =
                catalog::DocumentOf(*aDone.mPolicy)) {
-    answer.mEnd = OperationEnd::Done;
+    answer.mEnd = OperationOutcome::Done;
     answer.mDocument = std::move(document.value());
   } else {
     answer.mReason += ", " + document.error().mMessage;
@@ -108,9 +108,9 @@
 
 } // namespace
 
-const char* ToString(OperationEnd aEnd) noexcept
+const char* ToString(OperationOutcome aEnd) noexcept
 {
-  return kEndNames[static_cast<std::size_t>(aEnd)];
+  return kOutcomeNames[static_cast<std::size_t>(aEnd)];
 }
 
 void CompleteOperation(Context& aContext, const fleet::Done& aDone)
@@ -127,14 +127,14 @@
     CompleteRead(aContext, operation, aDone);
     return;
   }
-  AnswerOperation answer{ operation.mId, OperationEnd::Done, "", "", "" };
+  AnswerOperation answer{ operation.mId, OperationOutcome::Done, "", "", "" };
   answer.mReason = operation.mSubject + " ";
   if (!committed) {
-    answer.mEnd = OperationEnd::Unavailable;
+    answer.mEnd = OperationOutcome::Unavailable;
     answer.mReason += aDone.mReason;
   } else {
-    answer.mEnd =
-      aDone.mOutcome.accepted() ? OperationEnd::Done : OperationEnd::Conflict;
+    answer.mEnd = aDone.mOutcome.accepted() ? OperationOutcome::Done
+                                            : OperationOutcome::Conflict;
     answer.mReason += aDone.mOutcome.reason();
   }
   Answer(aContext, std::move(answer), NameOf(operation.mKind));
@@ -150,9 +150,11 @@
       ++it;
       continue;
     }
-    AnswerOperation answer{ it->mOperation, OperationEnd::Done, "", "", "" };
+    AnswerOperation answer{
+      it->mOperation, OperationOutcome::Done, "", "", ""
+    };
     if (!current || catalog.mVersion == 0) {
-      answer.mEnd = OperationEnd::Unavailable;
+      answer.mEnd = OperationOutcome::Unavailable;
       answer.mReason = current ? "no policy yet" : "behind the group";
     } else {
       answer.mDocument = catalog.mDocument;
@@ -168,7 +170,7 @@
   if (!catalog::IsNews(catalog, aCall.mRecord)) {
     // Renewals that change nothing are not logged.
     aContext.mOut.emplace_back(
-      AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
+      AnswerOperation{ aCall.mOperation, OperationOutcome::Done, "", "", "" });
     return;
   }
   wire::CatalogCommand command;
@@ -187,7 +189,7 @@
   const wire::RemoveTarget& removal = aCall.mRemoval;
   if (catalog::IsRemoved(catalog, removal.id(), removal.born_ms())) {
     aContext.mOut.emplace_back(
-      AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
+      AnswerOperation{ aCall.mOperation, OperationOutcome::Done, "", "", "" });
     return;
   }
   // The birth time identifies the incarnation that leaves. A removal without it
@@ -196,10 +198,13 @@
   const auto known = catalog.mTargets.find(removal.id());
   if (known != catalog.mTargets.end() && removal.born_ms() == 0 &&
       known->second.born_ms() != 0) {
-    Answer(
-      aContext,
-      { aCall.mOperation, OperationEnd::Invalid, "no time of birth", "", "" },
-      NameOf(OperationKind::Withdraw));
+    Answer(aContext,
+           { aCall.mOperation,
+             OperationOutcome::Invalid,
+             "no time of birth",
+             "",
+             "" },
+           NameOf(OperationKind::Withdraw));
     return;
   }
   wire::CatalogCommand command;
@@ -224,7 +229,7 @@
   }
   if (!fault.empty()) {
     Answer(aContext,
-           { aCall.mOperation, OperationEnd::Invalid, fault, "", "" },
+           { aCall.mOperation, OperationOutcome::Invalid, fault, "", "" },
            NameOf(OperationKind::PutPolicy));
     return;
   }
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -234,7 +234,7 @@
   if (call == mPolicyCalls.end()) {
     return;
   }
-  if (aEffect.mEnd == gateway::OperationEnd::Done) {
+  if (aEffect.mEnd == gateway::OperationOutcome::Done) {
     mAcknowledgedPolicy = std::max(mAcknowledgedPolicy, call->second);
   }
   mPolicyCalls.erase(call);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -104,7 +104,7 @@
       Step(state, FromLeader(kStart + kSecond, SubmitIn(asked), 1));
     const AnswerOperation* answer = AnswerIn(ended);
     CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mEnd == OperationEnd::Elsewhere);
+    CPPUNIT_ASSERT(answer->mEnd == OperationOutcome::Elsewhere);
     CPPUNIT_ASSERT_EQUAL(std::string(kLeader), answer->mElsewhere);
   }
 
@@ -118,7 +118,7 @@
       ->clear_leader_address();
     const Effects ended = Step(state, end);
     CPPUNIT_ASSERT(AnswerIn(ended) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationEnd::Done);
+    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationOutcome::Done);
     CPPUNIT_ASSERT_EQUAL(kLargeDocument, AnswerIn(ended)->mDocument.size());
   }
 
@@ -129,7 +129,7 @@
     (void)Read(silent, kStart + kSecond);
     const Effects late = Tick(silent, kStart + kSecond + 850 * kMillisecond);
     CPPUNIT_ASSERT(AnswerIn(late) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(late)->mEnd == OperationEnd::Unavailable);
+    CPPUNIT_ASSERT(AnswerIn(late)->mEnd == OperationOutcome::Unavailable);
 
     State leaderless = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(leaderless, kStart + kSecond);
@@ -140,7 +140,7 @@
     reply.clear_leader_address();
     const Effects ended = Step(leaderless, refused);
     CPPUNIT_ASSERT(AnswerIn(ended) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationEnd::Unavailable);
+    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationOutcome::Unavailable);
   }
 
   void PolicyFromDiskWaitsForTheGroup()
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -252,13 +252,13 @@
 
   void EndsBecomeTheStatusesThatCallersAct()
   {
-    using gateway::OperationEnd;
+    using gateway::OperationOutcome;
     const frontend::Dialect dialect = PlatformDialect();
-    const std::pair<OperationEnd, int> ends[] = {
-      { OperationEnd::Done, 200 },
-      { OperationEnd::Invalid, 400 },
-      { OperationEnd::Conflict, 412 },
-      { OperationEnd::Unavailable, 503 },
+    const std::pair<OperationOutcome, int> ends[] = {
+      { OperationOutcome::Done, 200 },
+      { OperationOutcome::Invalid, 400 },
+      { OperationOutcome::Conflict, 412 },
+      { OperationOutcome::Unavailable, 503 },
     };
     for (const auto& [end, status] : ends) {
       CPPUNIT_ASSERT_EQUAL(
