--- a/include/geraniumpond/gateway.h
+++ b/include/geraniumpond/gateway.h
@@ -34,7 +34,7 @@
   /// Time for which clients cache a directory answer.
   Micros mAnswerKeep = 1200 * kMillisecond;
   /// Some clients cache it for up to this many times as long.
-  int mAnswerKeepTimes = 3;
+  int mAnswerKeepFactor = 3;
   /// Time from a stop request until the process must have exited.
   Micros mStopGrace = 6 * kSecond;
 };
@@ -86,7 +86,7 @@
 {
   std::uint64_t mOperation = 0;
   /// The caller follows a redirect to another host.
-  bool mMayBeSentOn = false;
+  bool mFollowsRedirect = false;
 };
 
 /// \brief An operator releases a request from quarantine.
@@ -214,12 +214,12 @@
   std::map<std::uint64_t, Operation> mOperations;
   std::vector<WaitingRead> mReads;
   Micros mStartedAt = 0;
-  Micros mHostsCountedAt = 0;
-  Micros mMostHostsAt = 0;
+  Micros mHostCountUpdatedAt = 0;
+  Micros mPeakHostsAt = 0;
   /// Shuffles the addresses of directory answers.
   std::mt19937_64 mShuffle;
   /// The policy is not applied before the control group has confirmed it.
-  bool mHoldsPolicy = false;
+  bool mPolicyWithheld = false;
   bool mStopping = false;
   Micros mStopAt = 0;
   bool mSending = false;
@@ -245,7 +245,7 @@
 /// \brief Peer address of the host to which a read of the policy should be
 /// redirected; empty when this host answers itself. That host is known to be
 /// reachable only once it has answered.
-[[nodiscard]] std::string PolicyReader(const State& aState, Micros aNow);
+[[nodiscard]] std::string PolicyRedirect(const State& aState, Micros aNow);
 
 /// \brief Gateway addresses returned to a client in a data centre.
 [[nodiscard]] std::vector<std::string>
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -20,7 +20,7 @@
 
 // Control hosts answer reads themselves: their links are fast, and an
 // unreachable leader must not make reads fail on the other hosts.
-std::string PolicyReader(const State& aState, Micros aNow)
+std::string PolicyRedirect(const State& aState, Micros aNow)
 {
   const fleet::State& fleet = aState.mFleet;
   const double seconds = static_cast<double>(fleet.mCatalog.mDocument.size()) /
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -43,7 +43,7 @@
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
-  if (catalog.mVersion == 0 || state.mHoldsPolicy) {
+  if (catalog.mVersion == 0 || state.mPolicyWithheld) {
     return;
   }
   Result<policy::TrafficPolicy> decoded =
@@ -124,11 +124,11 @@
 void ApplyWithheldPolicy(Context& aContext)
 {
   State& state = aContext.mState;
-  if (!state.mHoldsPolicy ||
+  if (!state.mPolicyWithheld ||
       !fleet::HasGroupsWord(state.mFleet, aContext.mNow)) {
     return;
   }
-  state.mHoldsPolicy = false;
+  state.mPolicyWithheld = false;
   fleet::Output output;
   output.mPolicyChanged = true;
   ApplyFleetOutput(aContext, std::move(output));
@@ -155,7 +155,7 @@
 Micros EarliestExit(const State& aState)
 {
   const Settings& settings = aState.mSettings;
-  const Micros held = settings.mAnswerKeep * settings.mAnswerKeepTimes;
+  const Micros held = settings.mAnswerKeep * settings.mAnswerKeepFactor;
   return aState.mStopAt +
          std::min(held + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
 }
@@ -210,20 +210,20 @@
 void UpdateHostCount(Context& aContext)
 {
   State& state = aContext.mState;
-  if (aContext.mNow < state.mHostsCountedAt + kCountInterval) {
+  if (aContext.mNow < state.mHostCountUpdatedAt + kCountInterval) {
     return;
   }
-  state.mHostsCountedAt = aContext.mNow;
+  state.mHostCountUpdatedAt = aContext.mNow;
   state.mDispatch.mKnowsHosts = aContext.mNow >= state.mStartedAt + kLearnHosts;
   UpdateSharers(aContext);
   const int hosts = fleet::LiveHosts(state.mFleet, aContext.mNow);
   const Micros window = state.mSettings.mBounds.mExtraWindow;
   if (hosts >= state.mDispatch.mHosts) {
-    state.mMostHostsAt = aContext.mNow;
+    state.mPeakHostsAt = aContext.mNow;
   }
-  const bool old = aContext.mNow - state.mMostHostsAt > window;
+  const bool old = aContext.mNow - state.mPeakHostsAt > window;
   if (hosts > state.mDispatch.mHosts || old) {
-    state.mMostHostsAt = aContext.mNow;
+    state.mPeakHostsAt = aContext.mNow;
     dispatch::SetHosts(state.mDispatch, aContext.mNow, hosts);
   }
 }
@@ -352,7 +352,7 @@
   state.mFleet =
     fleet::Open(aSettings.mFleet, aRecovered, aNow, aRandom, output);
   Context context{ state, aNow, aOut };
-  state.mHoldsPolicy = true;
+  state.mPolicyWithheld = true;
   ApplyFleetOutput(context, std::move(output));
   return state;
 }
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -250,7 +250,7 @@
   State& state = aContext.mState;
   Operation operation{ aCall.mOperation, OperationKind::ReadPolicy, "" };
   operation.mElsewhere =
-    aCall.mMayBeSentOn && !PolicyReader(state, aContext.mNow).empty();
+    aCall.mFollowsRedirect && !PolicyRedirect(state, aContext.mNow).empty();
   const std::uint64_t known = operation.mElsewhere
                                 ? std::numeric_limits<std::uint64_t>::max()
                                 : state.mFleet.mCatalog.mVersion;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -77,21 +77,21 @@
   void LargePolicyIsReadFromTheLeaderWhereTheOwnLinkIsSlow()
   {
     const State slow = Follower(kSlowLink, true, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(kLeader), PolicyReader(slow, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(kLeader), PolicyRedirect(slow, kStart));
     const State fast = Follower(kFastLink, true, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(fast, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(fast, kStart));
   }
 
   void SmallPolicyIsReadHere()
   {
     const State state = Follower(kSlowLink, true, 4000);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(state, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
   void LargePolicyIsReadHereWhileTheLeaderIsNotKnown()
   {
     const State state = Follower(kSlowLink, false, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(state, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
   // Guards against a reader who is sent to a host without power.
