--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -9,12 +9,12 @@
 
 /// Addresses returned to a client, and how many of them at least are in its own
 /// data centre where it has that many ready hosts.
-constexpr std::size_t kAddresses = 5;
-constexpr std::size_t kLocalAddresses = 2;
+constexpr std::size_t kMaxAddresses = 5;
+constexpr std::size_t kMinLocalAddresses = 2;
 /// A policy that takes longer than this to send over this host's link is read
 /// from the leader: operators wait one second for an answer, and the document
 /// would delay clients' answers on the same link.
-constexpr Micros kLongestDocumentTime = 100 * kMillisecond;
+constexpr Micros kMaxDocumentTime = 100 * kMillisecond;
 
 } // namespace
 
@@ -25,7 +25,7 @@
   const fleet::State& fleet = aState.mFleet;
   const double seconds = static_cast<double>(fleet.mCatalog.mDocument.size()) /
                          std::max(1.0, aState.mSettings.mLinkBytesPerSecond);
-  const bool slow = seconds * kSecond > kLongestDocumentTime;
+  const bool slow = seconds * kSecond > kMaxDocumentTime;
   const bool redirect = slow && !fleet.mSettings.mControl &&
                         fleet::IsInTouch(fleet, aNow) &&
                         fleet.mLeaderAddress != fleet.mSettings.mPeerAddress;
@@ -51,11 +51,11 @@
   std::shuffle(others.begin(), others.end(), aState.mShuffle);
   const std::size_t near =
     std::min(local.size(),
-             std::max(kLocalAddresses,
-                      kAddresses - std::min(kAddresses, others.size())));
+             std::max(kMinLocalAddresses,
+                      kMaxAddresses - std::min(kMaxAddresses, others.size())));
   local.resize(near);
   others.resize(
-    std::min(others.size(), kAddresses - std::min(kAddresses, near)));
+    std::min(others.size(), kMaxAddresses - std::min(kMaxAddresses, near)));
   local.insert(local.end(), others.begin(), others.end());
   return local;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /// Interval at which the number of live hosts is updated.
-constexpr Micros kCountInterval = 500 * kMillisecond;
+constexpr Micros kHostCountInterval = 500 * kMillisecond;
 /// Time after a start until all hosts that started together are known: they
 /// report every 0.4 s, and a host list passes through a few relays.
-constexpr Micros kLearnHosts = 3 * kSecond;
+constexpr Micros kHostDiscoveryTime = 3 * kSecond;
 /// Part of the stop grace period reserved for the process to exit.
 constexpr Micros kStopReserve = 800 * kMillisecond;
 /// The same while answers are still being sent; whatever remains is cut off.
 constexpr Micros kSendingReserve = 300 * kMillisecond;
 /// Time after a start during which requests may wait for the first policy.
-constexpr Micros kPolicyExpected = 1 * kSecond;
+constexpr Micros kInitialPolicyWait = 1 * kSecond;
 
 void AppendEffects(Context& aContext, dispatch::Effects aEffects)
 {
@@ -210,11 +210,12 @@
 void UpdateHostCount(Context& aContext)
 {
   State& state = aContext.mState;
-  if (aContext.mNow < state.mHostCountUpdatedAt + kCountInterval) {
+  if (aContext.mNow < state.mHostCountUpdatedAt + kHostCountInterval) {
     return;
   }
   state.mHostCountUpdatedAt = aContext.mNow;
-  state.mDispatch.mKnowsHosts = aContext.mNow >= state.mStartedAt + kLearnHosts;
+  state.mDispatch.mKnowsHosts =
+    aContext.mNow >= state.mStartedAt + kHostDiscoveryTime;
   UpdateSharers(aContext);
   const int hosts = fleet::LiveHosts(state.mFleet, aContext.mNow);
   const Micros window = state.mSettings.mBounds.mExtraWindow;
@@ -346,7 +347,7 @@
   state.mDispatch.mRandom = aRandom | 1;
   state.mDispatch.mKnowsHosts = false;
   state.mStartedAt = aNow;
-  state.mDispatch.mPolicyExpectedUntil = aNow + kPolicyExpected;
+  state.mDispatch.mPolicyExpectedUntil = aNow + kInitialPolicyWait;
   state.mShuffle.seed(aRandom);
   fleet::Output output;
   state.mFleet =
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -12,7 +12,7 @@
 
 /// Callers try another host after one second without an answer, so this host
 /// answers before that.
-constexpr Micros kOperationPatience = 850 * kMillisecond;
+constexpr Micros kOperationTimeout = 850 * kMillisecond;
 
 constexpr std::array<const char*, 5> kOutcomeNames = {
   "done", "invalid", "conflict", "unavailable", "elsewhere",
@@ -49,7 +49,7 @@
   State& state = aContext.mState;
   fleet::Output output;
   const std::uint64_t id = fleet::Submit(
-    state.mFleet, aContext.mNow, aCommand, kOperationPatience, output);
+    state.mFleet, aContext.mNow, aCommand, kOperationTimeout, output);
   state.mOperations[id] = aOperation;
   ApplyFleetOutput(aContext, std::move(output));
 }
