--- a/include/geraniumpond/budget.h
+++ b/include/geraniumpond/budget.h
@@ -2,10 +2,10 @@
 
 #include <geraniumpond/time.h>
 
-/// \brief Token buckets that bound what measuring may cost.
+/// \brief Token buckets that limit rates.
 namespace geraniumpond::budget {
 
-/// \brief A bucket that fills at a steady rate up to its burst.
+/// \brief A token bucket; fills at a constant rate up to its burst size.
 struct TokenBucket
 {
   double mPerSecond = 1;
@@ -16,7 +16,8 @@
   double mRefused = 0;
 };
 
-/// \brief Takes `aCost` tokens, or none and returns false.
+/// \brief Takes `aCost` tokens; returns false and takes none if too few are
+/// left.
 [[nodiscard]] bool Take(TokenBucket& aBucket, Micros aNow, double aCost);
 
 } // namespace geraniumpond::budget
--- a/include/geraniumpond/gossip.h
+++ b/include/geraniumpond/gossip.h
@@ -11,39 +11,39 @@
 
 #include "impl/wire.h"
 
-/// \brief Short-lived facts that hosts tell each other.
+/// \brief Spreads short-lived facts among hosts.
 ///
-/// What one host notes is told to each of its neighbours at once, and again
-/// until the neighbour says that it has it; neighbours pass it on. So it
-/// reaches every host that is joined to the first one by neighbours, in a trip
-/// a step, whoever leads. A neighbour that comes later, or anew, is told all
-/// that is still believed. Of one key the latest observation counts. A fact is
-/// forgotten when its observation is older than its kind's lifetime; of each
-/// kind a bounded number is kept, and the oldest go first.
+/// A host sends each new fact to its neighbours immediately and resends it
+/// until they acknowledge it; they forward it to theirs. A fact so reaches
+/// every host that is connected through neighbours, in one message delay per
+/// hop and without a leader. A new or restarted neighbour is sent all facts
+/// that are still valid. For each key the latest observation wins. Facts expire
+/// when the observation is older than the lifetime of their kind. The number of
+/// facts per kind is bounded; the oldest are dropped first.
 ///
 /// A plain struct and free functions: no clock, thread, socket or file.
-/// Messages may be lost, doubled or late.
+/// Tolerates messages that are lost, duplicated or delayed.
 namespace geraniumpond::gossip {
 
-/// \brief What a fact is about.
+/// \brief Kind of a fact.
 enum class Kind
 {
-  /// Key: a request's identity and a target that ended under it.
+  /// Key: a request's identity and a target that crashed while running it.
   RequestCrash,
-  /// Key: a request's identity; a target has answered it.
+  /// Key: the identity of a request that a target has answered.
   RequestAnswered,
-  /// Key: a target; value: the rate that it takes from all hosts, empty for no
-  /// limit.
+  /// Key: a target; value: the rate that it accepts from all hosts combined,
+  /// empty for no limit.
   TargetLimit,
 };
 constexpr std::size_t kKinds = 3;
 
-/// \brief How long facts of a kind are believed, and how many are kept.
+/// \brief Lifetime and limits of the facts of one kind.
 struct KindRules
 {
   const char* mName;
   Micros mLifetime;
-  /// An observation that says the same is news when it is later by this.
+  /// Minimum time after which an observation of the same value counts as new.
   Micros mRefresh;
   std::size_t mMost;
 };
@@ -55,35 +55,35 @@
   Kind mKind = Kind::RequestCrash;
   std::string mKey;
   std::string mValue;
-  /// When it was observed, by the own clock.
+  /// Time of the observation, by this host's clock.
   Micros mSeenAt = 0;
 };
 
 using ItemKey = std::pair<Kind, std::string>;
 
-/// \brief A fact that this host believes.
+/// \brief A stored fact.
 struct Entry
 {
   Item mItem;
-  /// Number of the change that brought it.
+  /// Sequence number of the change that stored it.
   std::uint64_t mSequence = 0;
-  /// The neighbour that told of it; empty when it was noted here.
+  /// The neighbour that sent it; empty if it was observed on this host.
   std::string mFrom;
 };
 
-/// \brief What a neighbour has of this host's facts.
+/// \brief Which of this host's facts a neighbour has.
 struct Link
 {
   std::uint64_t mIncarnation = 0;
-  /// It has all up to this change.
+  /// Last change that it has acknowledged.
   std::uint64_t mAcknowledged = 0;
-  /// Told up to this change and not acknowledged yet; 0 for none.
+  /// Last change sent but not yet acknowledged; 0 for none.
   std::uint64_t mUnderWay = 0;
   Micros mSendAt = 0;
   Micros mPause = 0;
 };
 
-/// \brief Everything that one host knows of facts and of its neighbours.
+/// \brief The facts and neighbours of one host.
 struct State
 {
   std::uint64_t mIncarnation = 0;
@@ -97,19 +97,19 @@
   std::uint64_t mMessagesSent = 0;
 };
 
-/// \brief What a call asks its embedder to do.
+/// \brief Actions that a call asks the embedder to perform.
 struct Output
 {
   std::vector<std::pair<std::string, wire::Gossip>> mMessages;
-  /// Facts that are new here and were told by others.
+  /// Facts from neighbours that are new on this host.
   std::vector<Item> mNews;
 };
 
-/// \brief Notes a fact that was observed here; true when it is news.
+/// \brief Publishes a fact observed on this host; returns true if it is new.
 bool Note(State& aState, Micros aNow, Item aItem);
 
-/// \brief Takes the neighbours by address, each with its incarnation: one that
-/// was started anew has forgotten what it was told.
+/// \brief Sets the neighbours: address and incarnation. A changed incarnation
+/// means that the neighbour restarted and lost its facts.
 void SetNeighbours(State& aState,
                    const std::map<std::string, std::uint64_t>& aNeighbours);
 
@@ -119,7 +119,7 @@
              const wire::Gossip& aMessage,
              Output& aOut);
 
-/// \brief Tells neighbours what they lack; forgets what is old.
+/// \brief Sends neighbours the facts they lack and removes expired ones.
 void Tick(State& aState, Micros aNow, Output& aOut);
 
 /// \brief Earliest time at which Tick() has something to do.
--- a/include/geraniumpond/hash.h
+++ b/include/geraniumpond/hash.h
@@ -7,11 +7,11 @@
 
 namespace geraniumpond {
 
-/// \brief 64-bit xxHash (XXH3) of a text; equal on every host.
+/// \brief 64-bit XXH3 hash of a text; the same on every host.
 [[nodiscard]] std::uint64_t Hash64(std::string_view aText,
                                    std::uint64_t aSeed = 0) noexcept;
 
-/// \brief The same of a text that comes in pieces.
+/// \brief Computes Hash64() incrementally.
 class Hasher
 {
 public:
--- a/include/geraniumpond/policy.h
+++ b/include/geraniumpond/policy.h
@@ -10,22 +10,22 @@
 #include <unordered_map>
 #include <vector>
 
-/// \brief Where requests go and how they may be treated: routes by host name
-/// and path, services, and limits for clients.
+/// \brief The traffic policy: routes by host name and path, services, and
+/// limits on requests.
 namespace geraniumpond::policy {
 
-/// \brief What may be done with a request after its first dispatch.
+/// \brief Whether the requests of a route may be retried.
 enum class RouteKind
 {
-  /// Idempotent: may be sent again, may run more than once.
+  /// Idempotent: may be retried and run more than once.
   Safe,
-  /// Not idempotent: runs at most once for each attempt of a client.
+  /// Not idempotent: runs at most once per request of a client.
   Unsafe,
   /// Idempotent, with a large answer.
   Download
 };
 
-/// \brief Lower-case name of a kind, as written in policy files.
+/// \brief Lower-case name of a kind, as used in policy files.
 [[nodiscard]] const char* ToString(RouteKind aKind) noexcept;
 
 /// \brief The kind with this name; NotFound when there is none.
@@ -33,42 +33,42 @@
 
 [[nodiscard]] bool IsIdempotent(RouteKind aKind) noexcept;
 
-/// \brief One of the services that share a route's requests.
+/// \brief A service that receives a weighted part of a route's requests.
 struct Backend
 {
   std::string mService;
   double mWeight = 1;
 };
 
-/// \brief One route: the requests that it takes and the rules for them.
+/// \brief A route: which requests it matches and how they are handled.
 struct Route
 {
   std::string mName;
   std::string mHostName;
-  /// Begins with a slash; the longest one that begins a path wins.
+  /// Starts with a slash; the longest matching prefix wins.
   std::string mPathPrefix;
   RouteKind mKind = RouteKind::Safe;
-  /// Longest time a client is kept waiting.
+  /// Maximum time until a client is answered.
   Micros mTimeout = 0;
-  /// Time within which an answer is worth most.
+  /// Latency objective for answers.
   Micros mObjective = 0;
-  /// Most targets that one request may be sent to.
+  /// Maximum number of targets that one request is sent to.
   int mAttempts = 1;
-  /// Rank; 0 is the most urgent.
+  /// 0 is the highest priority.
   int mPriority = 0;
   std::vector<Backend> mBackends;
 };
 
-/// \brief What is known of a service beside its targets.
+/// \brief Settings of a service.
 struct ServiceRules
 {
   std::string mName;
   std::string mHealthPath = "/health";
-  /// Connections that one target accepts from all hosts together.
+  /// Connections that one target accepts from all hosts combined.
   int mMaxConnections = 100;
 };
 
-/// \brief Bounds on what a client may send.
+/// \brief Limits on the requests of clients.
 struct RequestLimits
 {
   std::uint64_t mMaxHeaderBytes = 16 * 1024;
@@ -77,7 +77,7 @@
   Micros mIdleTimeout = 15 * kSecond;
 };
 
-/// \brief The whole policy; replaced as a whole.
+/// \brief A complete policy; it is only ever replaced as a whole.
 struct TrafficPolicy
 {
   std::uint64_t mVersion = 0;
@@ -89,22 +89,24 @@
   std::unordered_map<std::string, std::size_t> mIndex;
 };
 
-/// \brief Longest timeout that a route may have.
+/// \brief Maximum timeout of a route.
 constexpr Micros kMaxRouteTimeout = 10 * kMinute;
 
-/// \brief Every fault of a policy in words; empty when it is valid.
+/// \brief Validates a policy.
+/// \return A message for each error; empty if it is valid.
 [[nodiscard]] std::vector<std::string> FaultsOf(const TrafficPolicy& aPolicy);
 
-/// \brief Makes the policy ready for FindRoute().
+/// \brief Builds the index that FindRoute() needs.
 void BuildIndex(TrafficPolicy& aPolicy);
 
-/// \brief The route of a request, or null; the host may carry a port, the path
-/// a query.
+/// \brief The route of a request, or null. The host may include a port and the
+/// path a query.
 [[nodiscard]] const Route* FindRoute(const TrafficPolicy& aPolicy,
                                      std::string_view aHost,
                                      std::string_view aPath);
 
-/// \brief Chooses a backend by weight; `aPoint` is uniform in [0, 1).
+/// \brief Chooses a service by weight; `aPoint` is a uniform random number in
+/// [0, 1).
 [[nodiscard]] const std::string& PickBackend(const Route& aRoute,
                                              double aPoint) noexcept;
 
--- a/include/geraniumpond/quarantine.h
+++ b/include/geraniumpond/quarantine.h
@@ -10,52 +10,54 @@
 #include <unordered_map>
 #include <vector>
 
-/// \brief Which requests end the targets that run them ("queries of death").
+/// \brief Detects requests that crash the targets that run them ("queries of
+/// death").
 ///
-/// A request is suspected from the first target that ended under it, and
-/// quarantined once enough different ones have. Whatever else was at work at a
-/// target is suspected with it, and cleared by an answer: a request that
-/// targets answer does not end them. A crash beside an answer of the last
-/// seconds does not count either; so many targets may end at once without a
-/// request that is often asked being condemned.
+/// A request is suspected from the first target that crashes while running it,
+/// and quarantined once enough different targets have. All requests that a
+/// crashed target was running are suspected; an answer to a request clears it,
+/// since requests that targets answer do not crash them. A crash within seconds
+/// of an answer does not count either, so that many targets can crash at once
+/// without a frequent request being quarantined.
 ///
 /// A plain struct and free functions: no clock, thread, socket or file.
 namespace geraniumpond::quarantine {
 
-/// \brief What is to be done with a request.
+/// \brief How a request is to be handled.
 enum class Verdict
 {
   Clear,
-  /// To be tried with care: at one target, once.
+  /// Try it on a single target, once.
   Suspected,
-  /// To be tried with care by one host, since what ended is no longer run.
+  /// Try it in the same way, but only from one host: the releases that crashed
+  /// are no longer deployed.
   OnTrial,
-  /// To be refused.
+  /// Refuse it.
   Quarantined
 };
 
 [[nodiscard]] const char* ToString(Verdict aVerdict) noexcept;
 
-/// \brief A target ended while it had the request.
+/// \brief A crash of a target while it was running the request.
 struct Crash
 {
   std::string mTarget;
-  /// Version of the target's program; empty where it is not known.
+  /// Release that the target was running; empty if unknown.
   std::string mRelease;
   Micros mAt = 0;
 };
 
-/// \brief What is known of one request.
+/// \brief The crashes and answers of one request.
 struct Record
 {
   std::vector<Crash> mCrashes;
-  /// Last answer of a target; 0 for none.
+  /// Time of a target's last answer; 0 for none.
   Micros mAnsweredAt = 0;
-  /// An operator let it go; crashes up to then do not count.
+  /// When an operator last released it; crashes up to then do not count.
   Micros mReleasedAt = 0;
 };
 
-/// \brief When requests were answered lately, in two halves of that time.
+/// \brief Times of recent answers, in two generations that take turns.
 struct RecentAnswers
 {
   std::array<std::unordered_map<std::uint64_t, Micros>, 2> mHalves;
@@ -63,52 +65,54 @@
   Micros mTurnAt = 0;
 };
 
-/// \brief Everything that one host knows of such requests.
+/// \brief Quarantine state of one host.
 struct State
 {
   std::unordered_map<std::uint64_t, Record> mRecords;
   RecentAnswers mAnswers;
-  /// Records that gave way to others.
+  /// Number of records evicted to make room for others.
   std::uint64_t mDropped = 0;
 };
 
-/// \brief Notes that a target ended while it had the request.
+/// \brief Records that a target crashed while running the request.
 void NoteCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash);
 
-/// \brief Notes that a target has answered the request.
+/// \brief Records that a target answered the request.
 void NoteAnswer(State& aState, std::uint64_t aIdentity, Micros aAt);
 
-/// \brief Notes that an operator lets the request go.
+/// \brief Records that an operator released the request.
 void NoteRelease(State& aState, std::uint64_t aIdentity, Micros aAt);
 
-/// \brief Remembers an answer of this host, in case of a crash.
+/// \brief Keeps the time of an answer from this host for a while, in case a
+/// target crashes.
 void RememberAnswer(State& aState, std::uint64_t aIdentity, Micros aNow);
-/// \brief When this host answered the request last; 0 if not lately.
+/// \brief When this host last answered the request; 0 if not recently.
 [[nodiscard]] Micros LastAnswer(const State& aState, std::uint64_t aIdentity);
 
-/// \brief Judges a request to a service that runs the given releases. Crashes
-/// of releases that are gone do not suffice to refuse it, but one more does.
+/// \brief The verdict on a request to a service that runs the given releases.
+/// Crashes of releases no longer deployed do not suffice for a quarantine, but
+/// one more crash of a deployed release does.
 [[nodiscard]] Verdict Judge(const State& aState,
                             std::uint64_t aIdentity,
                             Micros aNow,
                             const std::set<std::string>& aReleases);
 
-/// \brief The same as if the releases that ended were still run.
+/// \brief The verdict as if all releases that crashed were still deployed.
 [[nodiscard]] Verdict JudgeAnyRelease(const State& aState,
                                       std::uint64_t aIdentity,
                                       Micros aNow);
 
-/// \brief A request was refused: it is still asked for, so that its evidence
-/// counts from now on. Gives what has been renewed; nothing where that was done
-/// lately.
+/// \brief Renews the evidence against a request that was refused, since clients
+/// still send it.
+/// \return The renewed crashes; empty if they were renewed recently.
 [[nodiscard]] std::vector<Crash> Renew(State& aState,
                                        std::uint64_t aIdentity,
                                        Micros aNow);
 
-/// \brief What of a record counts against its request now, oldest first.
+/// \brief The crashes that currently count against a request, oldest first.
 [[nodiscard]] std::vector<Crash> Evidence(const Record& aRecord, Micros aNow);
 
-/// \brief Forgets what is old.
+/// \brief Removes expired records.
 void Expire(State& aState, Micros aNow);
 
 } // namespace geraniumpond::quarantine
--- a/include/geraniumpond/rate_share.h
+++ b/include/geraniumpond/rate_share.h
@@ -7,21 +7,22 @@
 #include <string>
 #include <vector>
 
-/// \brief Divides a rate among hosts, none of which asks another.
+/// \brief Divides a rate limit among hosts without communication.
 ///
-/// Hosts that hold the same list compute the same holders: as many as the rate
-/// has requests a second, one at least, each with an equal part. So no part is
-/// so small that it would be saved up or lost, whatever the number of hosts. A
-/// holder saves no more than a request and a half. A host that comes to hold a
-/// part begins after a pause in which whoever held it has heard so, and one
-/// that ceases to hold it ends at once: while lists differ, the parts add up to
-/// the rate or less, but for a host that has not heard of its end for longer
-/// than the pause.
+/// Hosts with the same host list compute the same holders by rendezvous
+/// hashing: one per request per second of the rate, at least one, each with an
+/// equal share. So however many hosts there are, no share is so small that it
+/// would accumulate or be lost. A holder accumulates 1.5 requests or a tenth of
+/// a second's share, whichever is more. A host that gains a share starts to use
+/// it after a delay in which the previous holder learns of the change; a host
+/// that loses one stops at once. While host lists differ, the shares therefore
+/// add up to at most the rate, unless a host learns of its loss later than that
+/// delay.
 ///
 /// A plain struct and free functions: no clock, thread, socket or file.
 namespace geraniumpond::rate_share {
 
-/// \brief The hosts among which rates are divided, as one of them knows them.
+/// \brief The hosts that share rates, as seen by one of them.
 struct Members
 {
   std::vector<std::uint64_t> mDigests;
@@ -31,38 +32,38 @@
 [[nodiscard]] Members MakeMembers(const std::vector<std::string>& aHosts,
                                   const std::string& aOwn);
 
-/// \brief True at the one of the members that comes first for this name.
+/// \brief True on the member that ranks first for this name.
 [[nodiscard]] bool IsFirst(const Members& aMembers, const std::string& aName);
 
-/// \brief One host's part of one rate.
+/// \brief One host's share of one rate.
 struct Share
 {
-  /// Requests a second; 0 where this host holds no part.
+  /// Requests per second; 0 if this host has no share.
   double mPart = 0;
-  /// The part counts from then on.
+  /// When the share takes effect.
   Micros mFrom = 0;
-  /// When a request was sent last, or the part began.
+  /// When a request was last sent, or the share took effect.
   Micros mTakenAt = 0;
-  /// The rate has been divided before.
+  /// Whether the rate has been divided before.
   bool mDivided = false;
   budget::TokenBucket mBucket;
 };
 
-/// \brief Divides a rate anew: it, or the hosts, have changed.
+/// \brief Recomputes a share after a change of the rate or the hosts.
 void Divide(Share& aShare,
             const Members& aMembers,
             const std::string& aName,
             double aPerSecond,
             Micros aNow);
 
-/// \brief True when one more request may be sent now.
+/// \brief True if a request may be sent now.
 [[nodiscard]] bool HasRoom(const Share& aShare, Micros aNow) noexcept;
 
-/// \brief True when there has been room for a while: what was told of the rate
-/// may have changed, and nobody sees it.
+/// \brief True if requests could have been sent for a while but none was: the
+/// rate may have changed without any host noticing.
 [[nodiscard]] bool IsUnused(const Share& aShare, Micros aNow) noexcept;
 
-/// \brief Notes a request that is sent.
+/// \brief Counts a request that is sent.
 void Take(Share& aShare, Micros aNow);
 
 } // namespace geraniumpond::rate_share
--- a/include/geraniumpond/result.h
+++ b/include/geraniumpond/result.h
@@ -8,7 +8,7 @@
 
 namespace geraniumpond {
 
-/// \brief What kind of outcome an Error is; see ToString().
+/// \brief Category of an Error.
 enum class ErrorCode
 {
   InvalidArgument,
@@ -23,22 +23,23 @@
   Io,
 };
 
-/// \brief Stable lower-case name of a code, as used in answers and logs.
+/// \brief Lower-case name of a code, as used in answers and logs; stable.
 [[nodiscard]] const char* ToString(ErrorCode aCode) noexcept;
 
-/// \brief An outcome that the caller of a function can act on.
+/// \brief An error that the caller of a function can handle.
 struct Error
 {
   ErrorCode mCode = ErrorCode::InvalidArgument;
   std::string mMessage;
 };
 
-/// \brief A value or an Error; reading the wrong one terminates the process.
+/// \brief A value or an Error; accessing the one that is absent terminates the
+/// process.
 template<class T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::
   basic_result<T, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
-/// \brief Makes the failed side of a Result.
+/// \brief Creates the error of a Result.
 [[nodiscard]] inline Error Fail(ErrorCode aCode, std::string aMessage)
 {
   return Error{ aCode, std::move(aMessage) };
--- a/include/geraniumpond/text_delta.h
+++ b/include/geraniumpond/text_delta.h
@@ -6,15 +6,16 @@
 
 #include "impl/wire.h"
 
-/// \brief Differences between two deployment texts, so that a change costs
-/// messages in proportion to itself and not to the whole file.
+/// \brief Deltas between two versions of a deployment text, so that the size of
+/// a message depends on the change and not on the whole file.
 namespace geraniumpond::text_delta {
 
-/// \brief What turns `aBase` into `aNext`: one replaced middle part.
+/// \brief The delta from `aBase` to `aNext`: the part between their common
+/// prefix and suffix.
 [[nodiscard]] wire::TextDelta Between(const std::string& aBase,
                                       const std::string& aNext);
 
-/// \brief The text that results; Corrupt when the base is another one.
+/// \brief Applies a delta; Corrupt if `aBase` is not the text it was made from.
 [[nodiscard]] Result<std::string> Apply(const std::string& aBase,
                                         const wire::TextDelta& aDelta);
 
--- a/include/geraniumpond/time.h
+++ b/include/geraniumpond/time.h
@@ -6,7 +6,7 @@
 
 /// \brief A point in time or a duration, in microseconds.
 ///
-/// Decisions never read a clock: every time is carried by an event.
+/// The decision code never reads a clock; every event carries its time.
 using Micros = std::int64_t;
 
 constexpr Micros kMillisecond = 1000;
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-/// Texts repeat themselves so much that the fastest level is enough.
+/// Policy documents and snapshots are so repetitive that the fastest level is
+/// sufficient.
 constexpr int kFastest = 1;
 
-// Two operators may give one version number to different contents, so that a
-// change is known by its number and its whole text.
+// Two operators may use the same version number for different documents, so a
+// change is identified by its version and the digest of its document.
 wire::AcceptedChange IdentityOf(const wire::PutPolicy& aChange)
 {
   wire::AcceptedChange identity;
@@ -57,12 +58,13 @@
   if (aChange.base_version() != aState.mVersion) {
     return OutcomeOf(aState,
                      false,
-                     "it builds on version " +
+                     "it is based on version " +
                        std::to_string(aChange.base_version()) + ", version " +
-                       std::to_string(aState.mVersion) + " is in force");
+                       std::to_string(aState.mVersion) + " is current");
   }
   if (aChange.version() <= aState.mVersion) {
-    return OutcomeOf(aState, false, "its version is not above the current one");
+    return OutcomeOf(
+      aState, false, "its version is not greater than the current one");
   }
   Result<std::string> document = DocumentOf(aChange);
   if (!document) {
@@ -85,8 +87,8 @@
     return OutcomeOf(aState, true, "known");
   }
   wire::TargetRecord& known = aState.mTargets[aRecord.id()];
-  // An incarnation that has begun to leave never comes back; a later one under
-  // its id knows nothing of that.
+  // Draining is final for an incarnation; a later incarnation of the same
+  // target does not inherit it.
   const bool same = known.born_ms() == aRecord.born_ms();
   const bool draining = (same && known.draining()) || aRecord.draining();
   known = aRecord;
@@ -117,7 +119,8 @@
     aState.mTargets.erase(found);
   }
   NoteRemoved(aState, aRemoval.id(), aRemoval.born_ms());
-  return OutcomeOf(aState, true, later ? "a later one stays" : "removed");
+  return OutcomeOf(
+    aState, true, later ? "a later incarnation remains" : "removed");
 }
 
 } // namespace
@@ -140,15 +143,15 @@
     return true;
   }
   const wire::TargetRecord& known = found->second;
-  // A later incarnation counts its announcements anew.
+  // Each incarnation numbers its announcements from the start.
   if (aRecord.born_ms() != known.born_ms()) {
     return aRecord.born_ms() > known.born_ms();
   }
   if (aRecord.sequence() <= known.sequence()) {
     return false;
   }
-  // An incarnation stays where it is and what it is: who says otherwise is
-  // another writer.
+  // The address and service of an incarnation never change; an announcement
+  // with others comes from another process.
   const bool same = aRecord.address() == known.address() &&
                     aRecord.service() == known.service();
   return same && ((aRecord.draining() && !known.draining()) ||
@@ -175,7 +178,8 @@
     return Fail(ErrorCode::Corrupt, "policy: " + document.error().mMessage);
   }
   if (Hash64(document.value()) != aChange.digest()) {
-    return Fail(ErrorCode::Corrupt, "policy: the text is not whole");
+    return Fail(ErrorCode::Corrupt,
+                "policy: the digest of the document does not match");
   }
   return document;
 }
@@ -217,7 +221,7 @@
     case wire::CatalogCommand::BODY_NOT_SET:
       break;
   }
-  return OutcomeOf(aState, false, "an unknown command");
+  return OutcomeOf(aState, false, "unknown command");
 }
 
 bool TakePolicy(State& aState, const wire::PutPolicy& aChange)
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Pause between two messages to one neighbour: facts come in bursts.
+/// Minimum interval between messages to one neighbour; facts arrive in bursts.
 constexpr Micros kSendPause = 20 * kMillisecond;
-/// A message without an acknowledgement is sent again after this time, which
-/// doubles up to the second one.
+/// Resend interval of an unacknowledged message; it doubles from the minimum to
+/// the maximum.
 constexpr Micros kResendMin = 300 * kMillisecond;
 constexpr Micros kResendMax = 5 * kSecond;
 constexpr int kMostItems = 128;
@@ -97,7 +97,7 @@
            aNow - static_cast<Micros>(aItem.age_ms()) * kMillisecond };
 }
 
-// What a neighbour told needs no way back.
+// The next message for a neighbour; leaves out facts that it sent itself.
 wire::Gossip WhatItLacks(const State& aState,
                          const std::string& aNeighbour,
                          const Link& aLink,
@@ -141,9 +141,9 @@
     aLink.mAcknowledged = message.up_to();
     return;
   }
-  const bool again = aLink.mUnderWay != 0;
+  const bool resend = aLink.mUnderWay != 0;
   aLink.mPause =
-    again ? std::min(kResendMax, 2 * aLink.mPause) : Micros(kResendMin);
+    resend ? std::min(kResendMax, 2 * aLink.mPause) : Micros(kResendMin);
   aLink.mUnderWay = message.up_to();
   aLink.mSendAt = aNow + aLink.mPause;
   ++aState.mMessagesSent;
@@ -169,7 +169,7 @@
   }
 }
 
-// What it told in an earlier life it has forgotten.
+// A restarted neighbour has lost the facts it sent, so they must be sent back.
 void ForgetSource(State& aState, const std::string& aNeighbour)
 {
   for (auto& [key, entry] : aState.mEntries) {
@@ -185,13 +185,13 @@
     return;
   }
   aState.mExpireAt = aNow + kExpireInterval;
-  std::vector<ItemKey> old;
+  std::vector<ItemKey> expired;
   for (const auto& [key, entry] : aState.mEntries) {
     if (aNow - entry.mItem.mSeenAt > RulesOf(key.first).mLifetime) {
-      old.push_back(key);
+      expired.push_back(key);
     }
   }
-  for (const ItemKey& key : old) {
+  for (const ItemKey& key : expired) {
     Remove(aState, key);
   }
 }
@@ -236,13 +236,13 @@
     return;
   }
   for (const wire::GossipItem& item : aMessage.items()) {
-    // Hosts of a later version may tell of more kinds.
+    // Hosts that run a later version may send kinds unknown to this one.
     if (item.kind() >= kKinds) {
       continue;
     }
-    Item told = FromWire(item, aNow);
-    if (Take(aState, aNow, told, aFrom)) {
-      aOut.mNews.push_back(std::move(told));
+    Item received = FromWire(item, aNow);
+    if (Take(aState, aNow, received, aFrom)) {
+      aOut.mNews.push_back(std::move(received));
     }
   }
   wire::Gossip reply;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -40,39 +40,39 @@
                 const Route& aRoute,
                 std::vector<std::string>& aFaults)
 {
-  const auto fault = [&](const std::string& aText) {
+  const auto addError = [&](const std::string& aText) {
     aFaults.push_back("route " + aRoute.mName + ": " + aText);
   };
   if (aRoute.mHostName.empty()) {
-    fault("no host name");
+    addError("no host name");
   }
   if (aRoute.mPathPrefix.empty() || aRoute.mPathPrefix.front() != '/') {
-    fault("the path prefix does not begin with a slash");
+    addError("the path prefix does not start with a slash");
   }
   if (aRoute.mTimeout <= 0) {
-    fault("the timeout is not above 0");
+    addError("the timeout is not greater than 0");
   }
   if (aRoute.mTimeout > kMaxRouteTimeout) {
-    fault("the timeout is over ten minutes");
+    addError("the timeout is longer than 10 minutes");
   }
   if (aRoute.mAttempts < 1) {
-    fault("less than one attempt");
+    addError("fewer than 1 attempt");
   }
   if (aRoute.mBackends.empty()) {
-    fault("no service");
+    addError("no service");
   }
   double weight = 0;
   for (const Backend& backend : aRoute.mBackends) {
     weight += backend.mWeight;
     if (aPolicy.mServices.count(backend.mService) == 0) {
-      fault("unknown service " + backend.mService);
+      addError("unknown service " + backend.mService);
     }
     if (backend.mWeight < 0) {
-      fault("a weight below 0");
+      addError("a weight is negative");
     }
   }
   if (!aRoute.mBackends.empty() && weight <= 0) {
-    fault("no weight above 0");
+    addError("the sum of the weights is not greater than 0");
   }
 }
 
@@ -104,17 +104,18 @@
 {
   std::vector<std::string> faults;
   if (aPolicy.mVersion == 0) {
-    faults.emplace_back("the version is not above 0");
+    faults.emplace_back("the version is not greater than 0");
   }
   if (aPolicy.mVersion <= aPolicy.mBaseVersion) {
-    faults.emplace_back("the version is not above its base");
+    faults.emplace_back("the version is not greater than its base version");
   }
-  std::set<std::string> places;
+  std::set<std::string> keys;
   for (const Route& route : aPolicy.mRoutes) {
     CheckRoute(aPolicy, route, faults);
-    if (!places.insert(IndexKey(route.mHostName, route.mPathPrefix)).second) {
-      faults.push_back("route " + route.mName +
-                       ": another route has its host name and prefix");
+    if (!keys.insert(IndexKey(route.mHostName, route.mPathPrefix)).second) {
+      faults.push_back(
+        "route " + route.mName +
+        ": another route has the same host name and path prefix");
     }
   }
   return faults;
@@ -135,8 +136,8 @@
 {
   std::string_view path = aPath.substr(0, aPath.find('?'));
   const std::string_view host = WithoutPort(aHost);
-  // Prefixes mostly end with a slash, so that only the path's own slashes and
-  // its whole are tried, the longest first.
+  // Prefixes usually end with a slash, so that only the whole path and its
+  // prefixes that end with one are tried, longest first.
   bool whole = true;
   while (!path.empty()) {
     if (whole || path.back() == '/') {
@@ -162,10 +163,10 @@
   for (const Backend& backend : aRoute.mBackends) {
     total += backend.mWeight;
   }
-  double left = aPoint * total;
+  double remaining = aPoint * total;
   for (const Backend& backend : aRoute.mBackends) {
-    left -= backend.mWeight;
-    if (left < 0) {
+    remaining -= backend.mWeight;
+    if (remaining < 0) {
       return backend.mService;
     }
   }
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Different targets that end under a quarantined request: one or two may be
-/// the bad luck of a request and its second attempt.
+/// Number of different targets whose crashes quarantine a request. One or two
+/// may be a coincidence that hits a request and its retry.
 constexpr int kCrashes = 3;
 constexpr Micros kLifetime = 600 * kSecond;
-/// A crash so soon after an answer does not count: long beside the time in
-/// which hosts hear of each other's answers.
+/// A crash within this time after an answer does not count. It is long compared
+/// to the time in which hosts learn of each other's answers.
 constexpr Micros kAnswerCounts = 10 * kSecond;
-/// Evidence is renewed by tries after this time.
+/// Minimum age at which refused requests renew their evidence.
 constexpr Micros kRenewPace = 60 * kSecond;
 constexpr std::size_t kMostRecords = 1024;
 constexpr std::size_t kMostAnswers = 4096;
@@ -36,8 +36,8 @@
          aNow - aCrash.mAt <= kLifetime;
 }
 
-// What is known least against goes first, of such the oldest: many that each
-// met one crash must not push out one that met three.
+// Evicts the record with the fewest crashes, the oldest of these: many requests
+// with one crash each must not evict one with three.
 void DropOne(State& aState)
 {
   const auto rank = [](const Record& aRecord) {
@@ -69,12 +69,12 @@
 
 bool IsOld(const Record& aRecord, Micros aNow)
 {
-  const Micros heardAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
+  const Micros updatedAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
   const bool crashed = std::any_of(
     aRecord.mCrashes.begin(), aRecord.mCrashes.end(), [&](const Crash& aCrash) {
       return aNow - aCrash.mAt <= kLifetime;
     });
-  return !crashed && aNow - heardAt > kLifetime;
+  return !crashed && aNow - updatedAt > kLifetime;
 }
 
 } // namespace
@@ -158,9 +158,9 @@
   int current = 0;
   int gone = 0;
   for (const Crash& crash : Evidence(found->second, aNow)) {
-    const bool runs =
+    const bool deployed =
       crash.mRelease.empty() || aReleases.count(crash.mRelease) != 0;
-    ++(runs ? current : gone);
+    ++(deployed ? current : gone);
   }
   if (current + std::min(gone, kCrashes - 1) >= kCrashes) {
     return Verdict::Quarantined;
--- a/src/rate_share/rate_share.cpp
+++ b/src/rate_share/rate_share.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// Requests a second of a holder; more hosts hold a part of a larger rate.
+/// Requests per second per holder; larger rates have more holders.
 constexpr double kHolderRate = 1;
-/// Rates below this are taken for it: somebody must see that they have ended.
+/// Lower rates are raised to this one, so that some host still sends requests
+/// and notices when the limit ends.
 constexpr double kLeastRate = 0.1;
-/// Time in which hosts hear of one that came, left or stopped.
+/// Time in which hosts learn that another one joined, left or stopped.
 constexpr Micros kHandover = 2 * kSecond;
-/// What a holder saves at most: work comes in clumps.
+/// Burst size of a holder, since requests arrive in bursts.
 constexpr double kSavedRequests = 1.5;
 constexpr double kSavedSeconds = 0.1;
 constexpr Micros kUnusedTime = 2 * kSecond;
 
 std::uint64_t Weight(std::uint64_t aHost, std::uint64_t aName) noexcept
 {
-  std::uint64_t word = (aHost ^ aName) * 0xff51afd7ed558ccdULL;
-  word = (word ^ (word >> 33)) * 0xc4ceb9fe1a85ec53ULL;
-  return word ^ (word >> 33);
+  std::uint64_t hash = (aHost ^ aName) * 0xff51afd7ed558ccdULL;
+  hash = (hash ^ (hash >> 33)) * 0xc4ceb9fe1a85ec53ULL;
+  return hash ^ (hash >> 33);
 }
 
-// How many hosts come before the own one in the order of this name.
+// Number of hosts that rank before this one for a name.
 std::size_t RankOf(const Members& aMembers, std::uint64_t aName) noexcept
 {
   const std::uint64_t own = Weight(aMembers.mOwn, aName);
@@ -86,7 +87,8 @@
 {
   const double part = PartOf(aMembers, aName, aPerSecond);
   if (part > 0 && aShare.mPart == 0) {
-    // Nobody held a part of a rate that was not divided before.
+    // No host held a share of a rate that was not divided before, so there is
+    // no handover to wait for.
     aShare.mFrom = aShare.mDivided ? aNow + kHandover : aNow;
     aShare.mTakenAt = aShare.mFrom;
     aShare.mBucket = budget::TokenBucket();
