--- a/include/geraniumpond/catalog.h
+++ b/include/geraniumpond/catalog.h
@@ -17,10 +17,10 @@
 
 /// \brief Number of accepted changes remembered, so that resends of them are
 /// acknowledged.
-constexpr std::size_t kAcceptedChanges = 2000;
+constexpr std::size_t kMaxAcceptedChanges = 2000;
 /// \brief Number of removed targets remembered, so that a late announcement
 /// does not register them again.
-constexpr std::size_t kRemovedTargets = 20000;
+constexpr std::size_t kMaxRemovedTargets = 20000;
 
 /// \brief State of the replicated state machine; identical on every replica.
 struct State
@@ -39,12 +39,13 @@
 };
 
 /// \brief Creates a policy change from a document.
-[[nodiscard]] wire::PutPolicy MakeChange(std::uint64_t aVersion,
-                                         std::uint64_t aBaseVersion,
-                                         const std::string& aDocument);
+[[nodiscard]] wire::PutPolicy MakePolicyChange(std::uint64_t aVersion,
+                                               std::uint64_t aBaseVersion,
+                                               const std::string& aDocument);
 
 /// \brief The document of a change; Corrupt if it is damaged.
-[[nodiscard]] Result<std::string> DocumentOf(const wire::PutPolicy& aChange);
+[[nodiscard]] Result<std::string> UnpackDocument(
+  const wire::PutPolicy& aChange);
 
 /// \brief Applies one committed command.
 [[nodiscard]] wire::CatalogOutcome Apply(State& aState,
@@ -53,7 +54,7 @@
 /// \brief Replaces the policy without the commands in between, on a host that
 /// follows the catalog rather than applying the log. Returns false, and changes
 /// nothing, unless the policy is newer and intact.
-[[nodiscard]] bool TakePolicy(State& aState, const wire::PutPolicy& aChange);
+[[nodiscard]] bool ReplacePolicy(State& aState, const wire::PutPolicy& aChange);
 
 /// \brief True if this incarnation of a target or a later one was removed.
 [[nodiscard]] bool IsRemoved(const State& aState,
@@ -61,17 +62,17 @@
                              std::uint64_t aBornMs);
 
 /// \brief True if applying a target's announcement would change the state.
-[[nodiscard]] bool IsNews(const State& aState,
-                          const wire::TargetRecord& aRecord);
+[[nodiscard]] bool ChangesState(const State& aState,
+                                const wire::TargetRecord& aRecord);
 
 /// \brief Serializes the state; equal states give equal bytes.
 [[nodiscard]] std::string Save(const State& aState);
 
 /// \brief Compresses bytes in zlib format.
-[[nodiscard]] std::string Pack(const std::string& aBytes);
+[[nodiscard]] std::string Compress(const std::string& aBytes);
 
 /// \brief Decompresses the output of Compress(); Corrupt if it is damaged.
-[[nodiscard]] Result<std::string> Unpack(const std::string& aPacked);
+[[nodiscard]] Result<std::string> Decompress(const std::string& aPacked);
 
 /// \brief Restores a state from the output of Save().
 [[nodiscard]] Result<State> Load(const std::string& aBytes);
--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -16,7 +16,7 @@
 
 /// Policy documents and snapshots are so repetitive that the fastest level is
 /// sufficient.
-constexpr int kFastest = 1;
+constexpr int kFastestLevel = 1;
 
 // Two operators may use the same version number for different documents, so a
 // change is identified by its version and the digest of its document.
@@ -66,7 +66,7 @@
     return OutcomeOf(
       aState, false, "its version is not greater than the current one");
   }
-  Result<std::string> document = DocumentOf(aChange);
+  Result<std::string> document = UnpackDocument(aChange);
   if (!document) {
     return OutcomeOf(aState, false, document.error().mMessage);
   }
@@ -74,7 +74,7 @@
   aState.mChange = aChange;
   aState.mDocument = std::move(document.value());
   aState.mAccepted.push_back(identity);
-  if (aState.mAccepted.size() > kAcceptedChanges) {
+  if (aState.mAccepted.size() > kMaxAcceptedChanges) {
     aState.mAccepted.pop_front();
   }
   return OutcomeOf(aState, true, "accepted");
@@ -83,7 +83,7 @@
 wire::CatalogOutcome ApplyTarget(State& aState,
                                  const wire::TargetRecord& aRecord)
 {
-  if (!IsNews(aState, aRecord)) {
+  if (!ChangesState(aState, aRecord)) {
     return OutcomeOf(aState, true, "known");
   }
   wire::TargetRecord& known = aState.mTargets[aRecord.id()];
@@ -96,14 +96,14 @@
   return OutcomeOf(aState, true, "noted");
 }
 
-void NoteRemoved(State& aState, const std::string& aId, std::uint64_t aBornMs)
+void RecordRemoval(State& aState, const std::string& aId, std::uint64_t aBornMs)
 {
   const auto [entry, added] = aState.mRemoved.emplace(aId, aBornMs);
   entry->second = std::max(entry->second, aBornMs);
   if (added) {
     aState.mRemovedOrder.push_back(aId);
   }
-  if (aState.mRemovedOrder.size() > kRemovedTargets) {
+  if (aState.mRemovedOrder.size() > kMaxRemovedTargets) {
     aState.mRemoved.erase(aState.mRemovedOrder.front());
     aState.mRemovedOrder.pop_front();
   }
@@ -118,7 +118,7 @@
   if (found != aState.mTargets.end() && !later) {
     aState.mTargets.erase(found);
   }
-  NoteRemoved(aState, aRemoval.id(), aRemoval.born_ms());
+  RecordRemoval(aState, aRemoval.id(), aRemoval.born_ms());
   return OutcomeOf(
     aState, true, later ? "a later incarnation remains" : "removed");
 }
@@ -133,7 +133,7 @@
   return found != aState.mRemoved.end() && aBornMs <= found->second;
 }
 
-bool IsNews(const State& aState, const wire::TargetRecord& aRecord)
+bool ChangesState(const State& aState, const wire::TargetRecord& aRecord)
 {
   if (IsRemoved(aState, aRecord.id(), aRecord.born_ms())) {
     return false;
@@ -159,21 +159,21 @@
                   aRecord.data_centre() != known.data_centre());
 }
 
-wire::PutPolicy MakeChange(std::uint64_t aVersion,
-                           std::uint64_t aBaseVersion,
-                           const std::string& aDocument)
+wire::PutPolicy MakePolicyChange(std::uint64_t aVersion,
+                                 std::uint64_t aBaseVersion,
+                                 const std::string& aDocument)
 {
   wire::PutPolicy change;
   change.set_version(aVersion);
   change.set_base_version(aBaseVersion);
   change.set_digest(Hash64(aDocument));
-  change.set_packed_document(Pack(aDocument));
+  change.set_packed_document(Compress(aDocument));
   return change;
 }
 
-Result<std::string> DocumentOf(const wire::PutPolicy& aChange)
+Result<std::string> UnpackDocument(const wire::PutPolicy& aChange)
 {
-  Result<std::string> document = Unpack(aChange.packed_document());
+  Result<std::string> document = Decompress(aChange.packed_document());
   if (!document) {
     return Fail(ErrorCode::Corrupt, "policy: " + document.error().mMessage);
   }
@@ -184,17 +184,17 @@
   return document;
 }
 
-std::string Pack(const std::string& aBytes)
+std::string Compress(const std::string& aBytes)
 {
   std::ostringstream packed;
   Poco::DeflatingOutputStream deflater(
-    packed, Poco::DeflatingStreamBuf::STREAM_ZLIB, kFastest);
+    packed, Poco::DeflatingStreamBuf::STREAM_ZLIB, kFastestLevel);
   deflater << aBytes;
   deflater.close();
   return packed.str();
 }
 
-Result<std::string> Unpack(const std::string& aPacked)
+Result<std::string> Decompress(const std::string& aPacked)
 {
   std::string bytes;
   try {
@@ -224,12 +224,12 @@
   return OutcomeOf(aState, false, "unknown command");
 }
 
-bool TakePolicy(State& aState, const wire::PutPolicy& aChange)
+bool ReplacePolicy(State& aState, const wire::PutPolicy& aChange)
 {
   if (aChange.version() <= aState.mVersion) {
     return false;
   }
-  Result<std::string> document = DocumentOf(aChange);
+  Result<std::string> document = UnpackDocument(aChange);
   if (!document) {
     return false;
   }
@@ -267,7 +267,7 @@
   }
   State state;
   if (snapshot.has_policy()) {
-    Result<std::string> document = DocumentOf(snapshot.policy());
+    Result<std::string> document = UnpackDocument(snapshot.policy());
     if (!document) {
       return document.error();
     }
@@ -281,10 +281,10 @@
     state.mTargets[record.id()] = record;
   }
   for (const std::string& id : snapshot.removed_targets()) {
-    NoteRemoved(state, id, 0);
+    RecordRemoval(state, id, 0);
   }
   for (const wire::RemoveTarget& removed : snapshot.removed()) {
-    NoteRemoved(state, removed.id(), removed.born_ms());
+    RecordRemoval(state, removed.id(), removed.born_ms());
   }
   return state;
 }
--- a/src/fleet/replies.cpp
+++ b/src/fleet/replies.cpp
@@ -20,7 +20,7 @@
   const std::uint64_t version = aState.mCatalog.mVersion;
   if (aState.mPackedIndex != aState.mApplied ||
       aState.mPackedVersion != version || aState.mPackedCatalog.empty()) {
-    aState.mPackedCatalog = catalog::Pack(catalog::Save(aState.mCatalog));
+    aState.mPackedCatalog = catalog::Compress(catalog::Save(aState.mCatalog));
     aState.mPackedIndex = aState.mApplied;
     aState.mPackedVersion = version;
   }
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -31,7 +31,7 @@
 bool IsCommitted(const State& aState, const wire::CatalogCommand& aCommand)
 {
   return aCommand.has_put_target() &&
-         !catalog::IsNews(aState.mCatalog, aCommand.put_target());
+         !catalog::ChangesState(aState.mCatalog, aCommand.put_target());
 }
 
 // Operators and targets that leave wait for an end with a time limit; a target
@@ -183,7 +183,7 @@
     done.mPolicy = aMessage.policy();
     aOut.mPolicyChanged =
       (!IsControlMember(aState) &&
-       catalog::TakePolicy(aState.mCatalog, aMessage.policy())) ||
+       catalog::ReplacePolicy(aState.mCatalog, aMessage.policy())) ||
       aOut.mPolicyChanged;
   }
   aOut.mDone.push_back(std::move(done));
--- a/src/fleet/taking.cpp
+++ b/src/fleet/taking.cpp
@@ -10,7 +10,7 @@
   if (aMessage.packed_snapshot().empty()) {
     return catalog::Load(aMessage.snapshot());
   }
-  Result<std::string> bytes = catalog::Unpack(aMessage.packed_snapshot());
+  Result<std::string> bytes = catalog::Decompress(aMessage.packed_snapshot());
   if (!bytes) {
     return bytes.error();
   }
@@ -32,7 +32,7 @@
   // A policy that came ahead may be newer than the snapshot's.
   const wire::PutPolicy known = aState.mCatalog.mChange;
   aState.mCatalog = std::move(loaded.value());
-  (void)catalog::TakePolicy(aState.mCatalog, known);
+  (void)catalog::ReplacePolicy(aState.mCatalog, known);
   aState.mApplied = aMessage.snapshot_index();
   aState.mRecentBase = aState.mApplied;
   aState.mRecent.clear();
@@ -61,7 +61,7 @@
     TakeSnapshot(aState, aFrom, aMessage, aOut);
   }
   if (aMessage.has_policy() &&
-      catalog::TakePolicy(aState.mCatalog, aMessage.policy())) {
+      catalog::ReplacePolicy(aState.mCatalog, aMessage.policy())) {
     aOut.mPolicyChanged = true;
   }
   // A message before this one was lost: the next report asks for all again.
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -97,7 +97,7 @@
     state.mReads.push_back({ aOperation.mId, version, aDone.mRead.mGiveUpAt });
     return;
   } else if (Result<std::string> document =
-               catalog::DocumentOf(*aDone.mPolicy)) {
+               catalog::UnpackDocument(*aDone.mPolicy)) {
     answer.mEnd = OperationOutcome::Done;
     answer.mDocument = std::move(document.value());
   } else {
@@ -167,7 +167,7 @@
 void HandleAnnounce(Context& aContext, const Announce& aCall)
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
-  if (!catalog::IsNews(catalog, aCall.mRecord)) {
+  if (!catalog::ChangesState(catalog, aCall.mRecord)) {
     // Renewals that change nothing are not logged.
     aContext.mOut.emplace_back(
       AnswerOperation{ aCall.mOperation, OperationOutcome::Done, "", "", "" });
@@ -234,7 +234,7 @@
     return;
   }
   wire::CatalogCommand command;
-  const wire::PutPolicy change = catalog::MakeChange(
+  const wire::PutPolicy change = catalog::MakePolicyChange(
     decoded.value().mVersion, decoded.value().mBaseVersion, aCall.mDocument);
   *command.mutable_put_policy() = change;
   SubmitCommand(aContext,
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -351,7 +351,8 @@
                                       const std::string& aText)
 {
   wire::CatalogCommand command;
-  *command.mutable_put_policy() = catalog::MakeChange(aVersion, aBase, aText);
+  *command.mutable_put_policy() =
+    catalog::MakePolicyChange(aVersion, aBase, aText);
   return command;
 }
 
--- a/tests/fleet_policy_test.cpp
+++ b/tests/fleet_policy_test.cpp
@@ -114,7 +114,7 @@
     for (const auto& [to, message] : output.mMessages) {
       const std::string& packed = message.follow_reply().packed_snapshot();
       if (to == kBelow && !packed.empty()) {
-        return catalog::Load(catalog::Unpack(packed).value()).value();
+        return catalog::Load(catalog::Decompress(packed).value()).value();
       }
     }
     return {};
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -33,7 +33,7 @@
   catalog::State catalog;
   wire::CatalogCommand command;
   *command.mutable_put_policy() =
-    catalog::MakeChange(1, 0, std::string(aDocumentBytes, 'x'));
+    catalog::MakePolicyChange(1, 0, std::string(aDocumentBytes, 'x'));
   CPPUNIT_ASSERT(catalog::Apply(catalog, command).accepted());
   return catalog;
 }
