--- a/include/geraniumpond/gossip.h
+++ b/include/geraniumpond/gossip.h
@@ -106,7 +106,7 @@
 };
 
 /// \brief Publishes a fact observed on this host; returns true if it is new.
-bool Note(State& aState, Micros aNow, Item aItem);
+bool Publish(State& aState, Micros aNow, Item aItem);
 
 /// \brief Sets the neighbours: address and incarnation. A changed incarnation
 /// means that the neighbour restarted and lost its facts.
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -51,7 +51,7 @@
 
 void Tell(State& aState, Micros aNow, gossip::Item aItem, Output& aOut)
 {
-  if (gossip::Note(aState.mGossip, aNow, std::move(aItem))) {
+  if (gossip::Publish(aState.mGossip, aNow, std::move(aItem))) {
     TellNeighbours(aState, aNow, aOut);
   }
 }
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -22,7 +22,7 @@
   KindRules{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
 };
 
-void Remove(State& aState, const ItemKey& aKey)
+void RemoveEntry(State& aState, const ItemKey& aKey)
 {
   const auto found = aState.mEntries.find(aKey);
   aState.mBySequence.erase(found->second.mSequence);
@@ -42,11 +42,11 @@
   }
   if (oldest != nullptr) {
     ++aState.mDropped;
-    Remove(aState, ItemKey(*oldest));
+    RemoveEntry(aState, ItemKey(*oldest));
   }
 }
 
-bool IsNews(const State& aState, const Item& aItem)
+bool IsNew(const State& aState, const Item& aItem)
 {
   const auto found = aState.mEntries.find({ aItem.mKind, aItem.mKey });
   if (found == aState.mEntries.end()) {
@@ -58,15 +58,15 @@
                                       : later > 0;
 }
 
-bool Take(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
+bool Merge(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
 {
   const KindRules& rules = RulesOf(aItem.mKind);
-  if (aNow - aItem.mSeenAt > rules.mLifetime || !IsNews(aState, aItem)) {
+  if (aNow - aItem.mSeenAt > rules.mLifetime || !IsNew(aState, aItem)) {
     return false;
   }
   const ItemKey key(aItem.mKind, aItem.mKey);
   if (aState.mEntries.count(key) != 0) {
-    Remove(aState, key);
+    RemoveEntry(aState, key);
   } else if (aState.mCounts[static_cast<std::size_t>(aItem.mKind)] >=
              rules.mMost) {
     DropOldest(aState, aItem.mKind);
@@ -98,10 +98,10 @@
 }
 
 // The next message for a neighbour; leaves out facts that it sent itself.
-wire::Gossip WhatItLacks(const State& aState,
-                         const std::string& aNeighbour,
-                         const Link& aLink,
-                         Micros aNow)
+wire::Gossip NextUpdate(const State& aState,
+                        const std::string& aNeighbour,
+                        const Link& aLink,
+                        Micros aNow)
 {
   wire::Gossip message;
   message.set_sender(aState.mIncarnation);
@@ -122,21 +122,21 @@
   return message;
 }
 
-bool IsTold(const State& aState, const Link& aLink)
+bool IsUpToDate(const State& aState, const Link& aLink)
 {
   return aLink.mAcknowledged >= aState.mSequence;
 }
 
-void Tell(State& aState,
-          Micros aNow,
-          const std::string& aNeighbour,
-          Link& aLink,
-          Output& aOut)
+void SendUpdate(State& aState,
+                Micros aNow,
+                const std::string& aNeighbour,
+                Link& aLink,
+                Output& aOut)
 {
-  if (IsTold(aState, aLink) || aNow < aLink.mSendAt) {
+  if (IsUpToDate(aState, aLink) || aNow < aLink.mSendAt) {
     return;
   }
-  wire::Gossip message = WhatItLacks(aState, aNeighbour, aLink, aNow);
+  wire::Gossip message = NextUpdate(aState, aNeighbour, aLink, aNow);
   if (message.items_size() == 0) {
     aLink.mAcknowledged = message.up_to();
     return;
@@ -150,10 +150,10 @@
   aOut.mMessages.emplace_back(aNeighbour, std::move(message));
 }
 
-void TakeAcknowledgement(State& aState,
-                         Micros aNow,
-                         const std::string& aFrom,
-                         const wire::Gossip& aMessage)
+void HandleAcknowledgement(State& aState,
+                           Micros aNow,
+                           const std::string& aFrom,
+                           const wire::Gossip& aMessage)
 {
   const auto link = aState.mLinks.find(aFrom);
   if (link == aState.mLinks.end() ||
@@ -170,7 +170,7 @@
 }
 
 // A restarted neighbour has lost the facts it sent, so they must be sent back.
-void ForgetSource(State& aState, const std::string& aNeighbour)
+void ClearSource(State& aState, const std::string& aNeighbour)
 {
   for (auto& [key, entry] : aState.mEntries) {
     if (entry.mFrom == aNeighbour) {
@@ -192,7 +192,7 @@
     }
   }
   for (const ItemKey& key : expired) {
-    Remove(aState, key);
+    RemoveEntry(aState, key);
   }
 }
 
@@ -203,9 +203,9 @@
   return kRules[static_cast<std::size_t>(aKind)];
 }
 
-bool Note(State& aState, Micros aNow, Item aItem)
+bool Publish(State& aState, Micros aNow, Item aItem)
 {
-  return Take(aState, aNow, std::move(aItem), "");
+  return Merge(aState, aNow, std::move(aItem), "");
 }
 
 void SetNeighbours(State& aState,
@@ -220,7 +220,7 @@
     if (link.mIncarnation != incarnation) {
       link = Link();
       link.mIncarnation = incarnation;
-      ForgetSource(aState, address);
+      ClearSource(aState, address);
     }
   }
 }
@@ -231,7 +231,7 @@
              const wire::Gossip& aMessage,
              Output& aOut)
 {
-  TakeAcknowledgement(aState, aNow, aFrom, aMessage);
+  HandleAcknowledgement(aState, aNow, aFrom, aMessage);
   if (aMessage.items_size() == 0) {
     return;
   }
@@ -241,7 +241,7 @@
       continue;
     }
     Item received = FromWire(item, aNow);
-    if (Take(aState, aNow, received, aFrom)) {
+    if (Merge(aState, aNow, received, aFrom)) {
       aOut.mNews.push_back(std::move(received));
     }
   }
@@ -255,7 +255,7 @@
 {
   Expire(aState, aNow);
   for (auto& [address, link] : aState.mLinks) {
-    Tell(aState, aNow, address, link, aOut);
+    SendUpdate(aState, aNow, address, link, aOut);
   }
 }
 
@@ -266,7 +266,7 @@
   }
   Micros next = aState.mExpireAt;
   for (const auto& [address, link] : aState.mLinks) {
-    if (!IsTold(aState, link)) {
+    if (!IsUpToDate(aState, link)) {
       next = std::min(next, link.mSendAt);
     }
   }
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -118,7 +118,7 @@
   void FactReachesAllHostsInATripAStep()
   {
     Line line(6);
-    CPPUNIT_ASSERT(Note(line.mStates[0], line.mNow, Crash("a")));
+    CPPUNIT_ASSERT(Publish(line.mStates[0], line.mNow, Crash("a")));
     line.Steps(6);
     for (std::size_t i = 0; i < 6; ++i) {
       CPPUNIT_ASSERT(line.Has(i, "a"));
@@ -130,8 +130,8 @@
     Line line(6);
     int count = 0;
     line.mLose = [&count] { return ++count % 2 == 0; };
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
-    (void)Note(line.mStates[5], line.mNow, Crash("b"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[5], line.mNow, Crash("b"));
     line.Steps(1000);
     for (std::size_t i = 0; i < 6; ++i) {
       CPPUNIT_ASSERT(line.Has(i, "a") && line.Has(i, "b"));
@@ -141,7 +141,7 @@
   void NothingIsSentOnceAllHaveIt()
   {
     Line line(6);
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
     line.Steps(100);
     const int sent = line.mSent;
     // One message and its acknowledgement a step.
@@ -153,7 +153,7 @@
   void HostThatStartsAnewIsToldAgain()
   {
     Line line(3);
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
     line.Steps(100);
     line.mStates[2] = State();
     line.mStates[2].mIncarnation = 999;
@@ -165,7 +165,7 @@
   void HostThatStartsAnewIsToldWhatItHadTold()
   {
     Line line(2);
-    (void)Note(line.mStates[1], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[1], line.mNow, Crash("a"));
     line.Steps(100);
     line.mStates[1] = State();
     line.mStates[1].mIncarnation = 999;
@@ -177,12 +177,12 @@
   void LatestObservationCounts()
   {
     State state;
-    CPPUNIT_ASSERT(Note(state, kStart, Crash("a", kStart - 20 * kSecond)));
+    CPPUNIT_ASSERT(Publish(state, kStart, Crash("a", kStart - 20 * kSecond)));
     Item other = Crash("a", kStart - 30 * kSecond);
     other.mValue = "v0";
-    CPPUNIT_ASSERT(!Note(state, kStart, other));
+    CPPUNIT_ASSERT(!Publish(state, kStart, other));
     other.mSeenAt = kStart - 10 * kSecond;
-    CPPUNIT_ASSERT(Note(state, kStart, other));
+    CPPUNIT_ASSERT(Publish(state, kStart, other));
     const Entry& entry = state.mEntries.at({ Kind::RequestCrash, "a" });
     CPPUNIT_ASSERT_EQUAL(std::string("v0"), entry.mItem.mValue);
   }
@@ -191,7 +191,7 @@
   {
     const Micros lifetime = RulesOf(Kind::RequestCrash).mLifetime;
     Line line(3);
-    (void)Note(
+    (void)Publish(
       line.mStates[0], line.mNow, Crash("a", kStart - lifetime + 5 * kSecond));
     line.Steps(300);
     CPPUNIT_ASSERT(line.Has(0, "a") && line.Has(2, "a"));
@@ -205,7 +205,7 @@
     State state;
     for (std::size_t i = 0; i <= most; ++i) {
       const Micros at = kStart + static_cast<Micros>(i);
-      CPPUNIT_ASSERT(Note(state, at, Crash(std::to_string(i), at)));
+      CPPUNIT_ASSERT(Publish(state, at, Crash(std::to_string(i), at)));
     }
     CPPUNIT_ASSERT_EQUAL(most, state.mEntries.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), state.mDropped);
@@ -216,7 +216,7 @@
   {
     Line line(2);
     for (int i = 0; i < 500; ++i) {
-      (void)Note(line.mStates[0], line.mNow, Crash(std::to_string(i)));
+      (void)Publish(line.mStates[0], line.mNow, Crash(std::to_string(i)));
     }
     line.Steps(50);
     CPPUNIT_ASSERT_EQUAL(std::size_t(500), line.mStates[1].mEntries.size());
