--- a/include/geraniumpond/gossip.h
+++ b/include/geraniumpond/gossip.h
@@ -36,18 +36,18 @@
   /// empty for no limit.
   TargetLimit,
 };
-constexpr std::size_t kKinds = 3;
+constexpr std::size_t kKindCount = 3;
 
 /// \brief Lifetime and limits of the facts of one kind.
-struct KindRules
+struct KindLimits
 {
   const char* mName;
   Micros mLifetime;
   /// Minimum time after which an observation of the same value counts as new.
   Micros mRefresh;
-  std::size_t mMost;
+  std::size_t mMaxItems;
 };
-[[nodiscard]] const KindRules& RulesOf(Kind aKind) noexcept;
+[[nodiscard]] const KindLimits& RulesOf(Kind aKind) noexcept;
 
 /// \brief One fact.
 struct Item
@@ -56,7 +56,7 @@
   std::string mKey;
   std::string mValue;
   /// Time of the observation, by this host's clock.
-  Micros mSeenAt = 0;
+  Micros mObservedAt = 0;
 };
 
 using ItemKey = std::pair<Kind, std::string>;
@@ -78,9 +78,9 @@
   /// Last change that it has acknowledged.
   std::uint64_t mAcknowledged = 0;
   /// Last change sent but not yet acknowledged; 0 for none.
-  std::uint64_t mUnderWay = 0;
+  std::uint64_t mInFlight = 0;
   Micros mSendAt = 0;
-  Micros mPause = 0;
+  Micros mResendInterval = 0;
 };
 
 /// \brief The facts and neighbours of one host.
@@ -90,7 +90,7 @@
   std::uint64_t mSequence = 0;
   std::map<ItemKey, Entry> mEntries;
   std::map<std::uint64_t, ItemKey> mBySequence;
-  std::array<std::size_t, kKinds> mCounts{};
+  std::array<std::size_t, kKindCount> mCounts{};
   std::map<std::string, Link> mLinks;
   Micros mExpireAt = 0;
   std::uint64_t mDropped = 0;
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -271,7 +271,7 @@
     aState,
     aNow,
     identity,
-    { aItem.mKey.substr(kIdentityDigits + 1), aItem.mValue, aItem.mSeenAt },
+    { aItem.mKey.substr(kIdentityDigits + 1), aItem.mValue, aItem.mObservedAt },
     aOut);
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, identity);
   if (answered != 0) {
@@ -283,9 +283,9 @@
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
   if (aItem.mValue == kReleased) {
-    quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mSeenAt);
+    quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mObservedAt);
   } else {
-    quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mSeenAt);
+    quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mObservedAt);
   }
 }
 
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -132,10 +132,10 @@
   double perSecond = 0;
   const bool named =
     std::from_chars(aItem.mValue.data(), end, perSecond).ec == std::errc();
-  if (aItem.mSeenAt <= target.mLimitAt) {
+  if (aItem.mObservedAt <= target.mLimitAt) {
     return;
   }
-  target.mLimitAt = aItem.mSeenAt;
+  target.mLimitAt = aItem.mObservedAt;
   if (named && !IsAboutTheSame(target, perSecond)) {
     SetLimit(aState, aNow, target, perSecond, aOut);
   } else if (!named && target.mLimit) {
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 /// Minimum interval between messages to one neighbour; facts arrive in bursts.
-constexpr Micros kSendPause = 20 * kMillisecond;
+constexpr Micros kSendInterval = 20 * kMillisecond;
 /// Resend interval of an unacknowledged message; it doubles from the minimum to
 /// the maximum.
 constexpr Micros kResendMin = 300 * kMillisecond;
 constexpr Micros kResendMax = 5 * kSecond;
-constexpr int kMostItems = 128;
+constexpr int kMaxItemsPerMessage = 128;
 constexpr Micros kExpireInterval = 1 * kSecond;
 
-constexpr std::array<KindRules, kKinds> kRules = {
-  KindRules{ "request_crash", 600 * kSecond, 30 * kSecond, 1024 },
-  KindRules{ "request_answered", 600 * kSecond, 3 * kSecond, 1024 },
-  KindRules{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
+constexpr std::array<KindLimits, kKindCount> kRules = {
+  KindLimits{ "request_crash", 600 * kSecond, 30 * kSecond, 1024 },
+  KindLimits{ "request_answered", 600 * kSecond, 3 * kSecond, 1024 },
+  KindLimits{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
 };
 
 void RemoveEntry(State& aState, const ItemKey& aKey)
@@ -35,9 +35,9 @@
   const ItemKey* oldest = nullptr;
   Micros seenAt = std::numeric_limits<Micros>::max();
   for (const auto& [key, entry] : aState.mEntries) {
-    if (key.first == aKind && entry.mItem.mSeenAt < seenAt) {
+    if (key.first == aKind && entry.mItem.mObservedAt < seenAt) {
       oldest = &key;
-      seenAt = entry.mItem.mSeenAt;
+      seenAt = entry.mItem.mObservedAt;
     }
   }
   if (oldest != nullptr) {
@@ -53,22 +53,22 @@
     return true;
   }
   const Item& known = found->second.mItem;
-  const Micros later = aItem.mSeenAt - known.mSeenAt;
+  const Micros later = aItem.mObservedAt - known.mObservedAt;
   return aItem.mValue == known.mValue ? later > RulesOf(aItem.mKind).mRefresh
                                       : later > 0;
 }
 
 bool Merge(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
 {
-  const KindRules& rules = RulesOf(aItem.mKind);
-  if (aNow - aItem.mSeenAt > rules.mLifetime || !IsNew(aState, aItem)) {
+  const KindLimits& rules = RulesOf(aItem.mKind);
+  if (aNow - aItem.mObservedAt > rules.mLifetime || !IsNew(aState, aItem)) {
     return false;
   }
   const ItemKey key(aItem.mKind, aItem.mKey);
   if (aState.mEntries.count(key) != 0) {
     RemoveEntry(aState, key);
   } else if (aState.mCounts[static_cast<std::size_t>(aItem.mKind)] >=
-             rules.mMost) {
+             rules.mMaxItems) {
     DropOldest(aState, aItem.mKind);
   }
   const std::uint64_t sequence = ++aState.mSequence;
@@ -85,7 +85,7 @@
   item.set_key(aItem.mKey);
   item.set_value(aItem.mValue);
   item.set_age_ms(static_cast<std::uint32_t>(
-    std::max<Micros>(0, aNow - aItem.mSeenAt) / kMillisecond));
+    std::max<Micros>(0, aNow - aItem.mObservedAt) / kMillisecond));
   return item;
 }
 
@@ -114,7 +114,7 @@
       continue;
     }
     *message.add_items() = ToWire(entry.mItem, aNow);
-    if (message.items_size() == kMostItems) {
+    if (message.items_size() == kMaxItemsPerMessage) {
       message.set_up_to(it->first);
       break;
     }
@@ -141,11 +141,12 @@
     aLink.mAcknowledged = message.up_to();
     return;
   }
-  const bool resend = aLink.mUnderWay != 0;
-  aLink.mPause =
-    resend ? std::min(kResendMax, 2 * aLink.mPause) : Micros(kResendMin);
-  aLink.mUnderWay = message.up_to();
-  aLink.mSendAt = aNow + aLink.mPause;
+  const bool resend = aLink.mInFlight != 0;
+  aLink.mResendInterval = resend
+                            ? std::min(kResendMax, 2 * aLink.mResendInterval)
+                            : Micros(kResendMin);
+  aLink.mInFlight = message.up_to();
+  aLink.mSendAt = aNow + aLink.mResendInterval;
   ++aState.mMessagesSent;
   aOut.mMessages.emplace_back(aNeighbour, std::move(message));
 }
@@ -163,9 +164,9 @@
   }
   Link& known = link->second;
   known.mAcknowledged = std::max(known.mAcknowledged, aMessage.taken_up_to());
-  if (known.mAcknowledged >= known.mUnderWay) {
-    known.mUnderWay = 0;
-    known.mSendAt = std::min(known.mSendAt, aNow + kSendPause);
+  if (known.mAcknowledged >= known.mInFlight) {
+    known.mInFlight = 0;
+    known.mSendAt = std::min(known.mSendAt, aNow + kSendInterval);
   }
 }
 
@@ -187,7 +188,7 @@
   aState.mExpireAt = aNow + kExpireInterval;
   std::vector<ItemKey> expired;
   for (const auto& [key, entry] : aState.mEntries) {
-    if (aNow - entry.mItem.mSeenAt > RulesOf(key.first).mLifetime) {
+    if (aNow - entry.mItem.mObservedAt > RulesOf(key.first).mLifetime) {
       expired.push_back(key);
     }
   }
@@ -198,7 +199,7 @@
 
 } // namespace
 
-const KindRules& RulesOf(Kind aKind) noexcept
+const KindLimits& RulesOf(Kind aKind) noexcept
 {
   return kRules[static_cast<std::size_t>(aKind)];
 }
@@ -237,7 +238,7 @@
   }
   for (const wire::GossipItem& item : aMessage.items()) {
     // Hosts that run a later version may send kinds unknown to this one.
-    if (item.kind() >= kKinds) {
+    if (item.kind() >= kKindCount) {
       continue;
     }
     Item received = FromWire(item, aNow);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -49,7 +49,7 @@
     for (const auto& [to, message] : aOutput.mMessages) {
       ++mSent;
       if (!mLose || !mLose()) {
-        mUnderWay.push_back({ aFrom, std::stoul(to), message });
+        mInFlight.push_back({ aFrom, std::stoul(to), message });
       }
     }
   }
@@ -63,7 +63,7 @@
       Tick(mStates[i], mNow, output);
       Send(i, output);
     }
-    const auto arrived = std::exchange(mUnderWay, {});
+    const auto arrived = std::exchange(mInFlight, {});
     for (const auto& [from, to, message] : arrived) {
       Output output;
       Receive(mStates[to], mNow, Name(from), message, output);
@@ -92,7 +92,7 @@
 
   Micros mNow = kStart;
   std::vector<State> mStates;
-  std::deque<Message> mUnderWay;
+  std::deque<Message> mInFlight;
   std::function<bool()> mLose;
   int mSent = 0;
 };
@@ -181,7 +181,7 @@
     Item other = Crash("a", kStart - 30 * kSecond);
     other.mValue = "v0";
     CPPUNIT_ASSERT(!Publish(state, kStart, other));
-    other.mSeenAt = kStart - 10 * kSecond;
+    other.mObservedAt = kStart - 10 * kSecond;
     CPPUNIT_ASSERT(Publish(state, kStart, other));
     const Entry& entry = state.mEntries.at({ Kind::RequestCrash, "a" });
     CPPUNIT_ASSERT_EQUAL(std::string("v0"), entry.mItem.mValue);
@@ -201,7 +201,7 @@
 
   void OldestGoesFirstWhereThereAreTooMany()
   {
-    const std::size_t most = RulesOf(Kind::RequestCrash).mMost;
+    const std::size_t most = RulesOf(Kind::RequestCrash).mMaxItems;
     State state;
     for (std::size_t i = 0; i <= most; ++i) {
       const Micros at = kStart + static_cast<Micros>(i);
@@ -228,7 +228,7 @@
     wire::Gossip message;
     message.set_sender(7);
     message.set_up_to(3);
-    message.add_items()->set_kind(kKinds);
+    message.add_items()->set_kind(kKindCount);
     Output output;
     Receive(state, kStart, "1", message, output);
     CPPUNIT_ASSERT(state.mEntries.empty());
