--- a/bench/harmful_bench.cpp
+++ b/bench/harmful_bench.cpp
@@ -26,7 +26,7 @@
   for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
     const geraniumpond::quarantine::State& state =
       aWorld.At(host).mDispatch.mQuarantine;
-    count += geraniumpond::quarantine::JudgeAnyRelease(
+    count += geraniumpond::quarantine::EvaluateAnyRelease(
                state, identity, aWorld.Now()) ==
                  geraniumpond::quarantine::Verdict::Quarantined
                ? 1
--- a/include/geraniumpond/quarantine.h
+++ b/include/geraniumpond/quarantine.h
@@ -75,39 +75,39 @@
 };
 
 /// \brief Records that a target crashed while running the request.
-void NoteCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash);
+void RecordCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash);
 
 /// \brief Records that a target answered the request.
-void NoteAnswer(State& aState, std::uint64_t aIdentity, Micros aAt);
+void RecordAnswer(State& aState, std::uint64_t aIdentity, Micros aAt);
 
 /// \brief Records that an operator released the request.
-void NoteRelease(State& aState, std::uint64_t aIdentity, Micros aAt);
+void RecordRelease(State& aState, std::uint64_t aIdentity, Micros aAt);
 
 /// \brief Keeps the time of an answer from this host for a while, in case a
 /// target crashes.
-void RememberAnswer(State& aState, std::uint64_t aIdentity, Micros aNow);
+void TrackRecentAnswer(State& aState, std::uint64_t aIdentity, Micros aNow);
 /// \brief When this host last answered the request; 0 if not recently.
 [[nodiscard]] Micros LastAnswer(const State& aState, std::uint64_t aIdentity);
 
 /// \brief The verdict on a request to a service that runs the given releases.
 /// Crashes of releases no longer deployed do not suffice for a quarantine, but
 /// one more crash of a deployed release does.
-[[nodiscard]] Verdict Judge(const State& aState,
-                            std::uint64_t aIdentity,
-                            Micros aNow,
-                            const std::set<std::string>& aReleases);
+[[nodiscard]] Verdict Evaluate(const State& aState,
+                               std::uint64_t aIdentity,
+                               Micros aNow,
+                               const std::set<std::string>& aReleases);
 
 /// \brief The verdict as if all releases that crashed were still deployed.
-[[nodiscard]] Verdict JudgeAnyRelease(const State& aState,
-                                      std::uint64_t aIdentity,
-                                      Micros aNow);
+[[nodiscard]] Verdict EvaluateAnyRelease(const State& aState,
+                                         std::uint64_t aIdentity,
+                                         Micros aNow);
 
 /// \brief Renews the evidence against a request that was refused, since clients
 /// still send it.
 /// \return The renewed crashes; empty if they were renewed recently.
-[[nodiscard]] std::vector<Crash> Renew(State& aState,
-                                       std::uint64_t aIdentity,
-                                       Micros aNow);
+[[nodiscard]] std::vector<Crash> RenewEvidence(State& aState,
+                                               std::uint64_t aIdentity,
+                                               Micros aNow);
 
 /// \brief The crashes that currently count against a request, oldest first.
 [[nodiscard]] std::vector<Crash> Evidence(const Record& aRecord, Micros aNow);
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -44,11 +44,11 @@
               Effects& aOut)
 {
   const quarantine::Verdict before =
-    quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow);
+    quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow);
   quarantine::Expire(aState.mQuarantine, aNow);
-  quarantine::NoteCrash(aState.mQuarantine, aIdentity, aCrash);
+  quarantine::RecordCrash(aState.mQuarantine, aIdentity, aCrash);
   const quarantine::Verdict after =
-    quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow);
+    quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow);
   if (after != before) {
     LogVerdict(aState, aIdentity, after, aOut);
   }
@@ -72,7 +72,7 @@
       aAt < found->second.mAnsweredAt + kAnswerPace) {
     return;
   }
-  quarantine::NoteAnswer(aState.mQuarantine, aIdentity, aAt);
+  quarantine::RecordAnswer(aState.mQuarantine, aIdentity, aAt);
   aOut.emplace_back(TellFleet{
     { gossip::Kind::RequestAnswered, Hexadecimal(aIdentity), "", aAt } });
 }
@@ -210,7 +210,7 @@
                   std::uint64_t aIdentity,
                   Effects& aOut)
 {
-  quarantine::RememberAnswer(aState.mQuarantine, aIdentity, aNow);
+  quarantine::TrackRecentAnswer(aState.mQuarantine, aIdentity, aNow);
   TellAnswer(aState, aIdentity, aNow, aOut);
 }
 
@@ -223,10 +223,10 @@
   if (found == aState.mQuarantine.mRecords.end()) {
     return quarantine::Verdict::Clear;
   }
-  return quarantine::Judge(aState.mQuarantine,
-                           aIdentity,
-                           aNow,
-                           ReleasesThatRun(aState, aService, found->second));
+  return quarantine::Evaluate(aState.mQuarantine,
+                              aIdentity,
+                              aNow,
+                              ReleasesThatRun(aState, aService, found->second));
 }
 
 void NoteTried(State& aState,
@@ -235,7 +235,7 @@
                Effects& aOut)
 {
   for (const quarantine::Crash& crash :
-       quarantine::Renew(aState.mQuarantine, aIdentity, aNow)) {
+       quarantine::RenewEvidence(aState.mQuarantine, aIdentity, aNow)) {
     aOut.emplace_back(TellFleet{ ItemOf(aIdentity, crash) });
   }
 }
@@ -245,11 +245,11 @@
                     std::uint64_t aIdentity,
                     Effects& aOut)
 {
-  if (quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow) ==
+  if (quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow) ==
       quarantine::Verdict::Clear) {
     return false;
   }
-  quarantine::NoteRelease(aState.mQuarantine, aIdentity, aNow);
+  quarantine::RecordRelease(aState.mQuarantine, aIdentity, aNow);
   Log(aOut, 2, "event=request_released identity=" + Hexadecimal(aIdentity));
   aOut.emplace_back(TellFleet{ { gossip::Kind::RequestAnswered,
                                  Hexadecimal(aIdentity),
@@ -283,9 +283,9 @@
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
   if (aItem.mValue == kReleased) {
-    quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mObservedAt);
+    quarantine::RecordRelease(aState.mQuarantine, identity, aItem.mObservedAt);
   } else {
-    quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mObservedAt);
+    quarantine::RecordAnswer(aState.mQuarantine, identity, aItem.mObservedAt);
   }
 }
 
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -54,7 +54,7 @@
   Array::Ptr requests = new Array;
   for (const auto& [identity, record] : aState.mRecords) {
     const quarantine::Verdict verdict =
-      quarantine::JudgeAnyRelease(aState, identity, aNow);
+      quarantine::EvaluateAnyRelease(aState, identity, aNow);
     if (verdict == quarantine::Verdict::Clear) {
       continue;
     }
@@ -85,7 +85,7 @@
   double& quarantined = aGauges["requests_quarantined"];
   for (const auto& [identity, record] : aState.mRecords) {
     const quarantine::Verdict verdict =
-      quarantine::JudgeAnyRelease(aState, identity, aNow);
+      quarantine::EvaluateAnyRelease(aState, identity, aNow);
     suspected += verdict == quarantine::Verdict::Suspected ? 1 : 0;
     quarantined += verdict == quarantine::Verdict::Quarantined ? 1 : 0;
   }
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -38,7 +38,7 @@
 
 // Evicts the record with the fewest crashes, the oldest of these: many requests
 // with one crash each must not evict one with three.
-void DropOne(State& aState)
+void EvictRecord(State& aState)
 {
   const auto rank = [](const Record& aRecord) {
     const Micros at =
@@ -55,19 +55,19 @@
   ++aState.mDropped;
 }
 
-Record& RecordOf(State& aState, std::uint64_t aIdentity)
+Record& FindOrAddRecord(State& aState, std::uint64_t aIdentity)
 {
   const auto found = aState.mRecords.find(aIdentity);
   if (found != aState.mRecords.end()) {
     return found->second;
   }
   if (aState.mRecords.size() >= kMostRecords) {
-    DropOne(aState);
+    EvictRecord(aState);
   }
   return aState.mRecords[aIdentity];
 }
 
-bool IsOld(const Record& aRecord, Micros aNow)
+bool IsExpired(const Record& aRecord, Micros aNow)
 {
   const Micros updatedAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
   const bool crashed = std::any_of(
@@ -84,9 +84,9 @@
   return kVerdictNames[static_cast<std::size_t>(aVerdict)];
 }
 
-void NoteCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash)
+void RecordCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash)
 {
-  std::vector<Crash>& crashes = RecordOf(aState, aIdentity).mCrashes;
+  std::vector<Crash>& crashes = FindOrAddRecord(aState, aIdentity).mCrashes;
   const auto same =
     std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aKnown) {
       return aKnown.mTarget == aCrash.mTarget;
@@ -101,19 +101,19 @@
   crashes.push_back(aCrash);
 }
 
-void NoteAnswer(State& aState, std::uint64_t aIdentity, Micros aAt)
+void RecordAnswer(State& aState, std::uint64_t aIdentity, Micros aAt)
 {
-  Record& record = RecordOf(aState, aIdentity);
+  Record& record = FindOrAddRecord(aState, aIdentity);
   record.mAnsweredAt = std::max(record.mAnsweredAt, aAt);
 }
 
-void NoteRelease(State& aState, std::uint64_t aIdentity, Micros aAt)
+void RecordRelease(State& aState, std::uint64_t aIdentity, Micros aAt)
 {
-  Record& record = RecordOf(aState, aIdentity);
+  Record& record = FindOrAddRecord(aState, aIdentity);
   record.mReleasedAt = std::max(record.mReleasedAt, aAt);
 }
 
-void RememberAnswer(State& aState, std::uint64_t aIdentity, Micros aNow)
+void TrackRecentAnswer(State& aState, std::uint64_t aIdentity, Micros aNow)
 {
   RecentAnswers& answers = aState.mAnswers;
   if (aNow >= answers.mTurnAt ||
@@ -146,10 +146,10 @@
   return evidence;
 }
 
-Verdict Judge(const State& aState,
-              std::uint64_t aIdentity,
-              Micros aNow,
-              const std::set<std::string>& aReleases)
+Verdict Evaluate(const State& aState,
+                 std::uint64_t aIdentity,
+                 Micros aNow,
+                 const std::set<std::string>& aReleases)
 {
   const auto found = aState.mRecords.find(aIdentity);
   if (found == aState.mRecords.end()) {
@@ -171,9 +171,9 @@
   return current + gone > 0 ? Verdict::Suspected : Verdict::Clear;
 }
 
-Verdict JudgeAnyRelease(const State& aState,
-                        std::uint64_t aIdentity,
-                        Micros aNow)
+Verdict EvaluateAnyRelease(const State& aState,
+                           std::uint64_t aIdentity,
+                           Micros aNow)
 {
   std::set<std::string> releases;
   const auto found = aState.mRecords.find(aIdentity);
@@ -182,10 +182,12 @@
       releases.insert(crash.mRelease);
     }
   }
-  return Judge(aState, aIdentity, aNow, releases);
+  return Evaluate(aState, aIdentity, aNow, releases);
 }
 
-std::vector<Crash> Renew(State& aState, std::uint64_t aIdentity, Micros aNow)
+std::vector<Crash> RenewEvidence(State& aState,
+                                 std::uint64_t aIdentity,
+                                 Micros aNow)
 {
   std::vector<Crash> renewed;
   const auto found = aState.mRecords.find(aIdentity);
@@ -204,7 +206,8 @@
 void Expire(State& aState, Micros aNow)
 {
   for (auto it = aState.mRecords.begin(); it != aState.mRecords.end();) {
-    it = IsOld(it->second, aNow) ? aState.mRecords.erase(it) : std::next(it);
+    it =
+      IsExpired(it->second, aNow) ? aState.mRecords.erase(it) : std::next(it);
   }
 }
 
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -18,13 +18,13 @@
 void Meet(State& aState, std::uint64_t aIdentity, int aCrashes)
 {
   for (int i = 0; i < aCrashes; ++i) {
-    NoteCrash(aState, aIdentity, At("t" + std::to_string(i)));
+    RecordCrash(aState, aIdentity, At("t" + std::to_string(i)));
   }
 }
 
 Verdict JudgeAt(const State& aState, Micros aNow = kStart)
 {
-  return Judge(aState, kRequest, aNow, kReleases);
+  return Evaluate(aState, kRequest, aNow, kReleases);
 }
 
 } // namespace
@@ -62,7 +62,7 @@
   {
     State state;
     for (int i = 0; i < 5; ++i) {
-      NoteCrash(state, kRequest, At("t"));
+      RecordCrash(state, kRequest, At("t"));
     }
     CPPUNIT_ASSERT(JudgeAt(state) == Verdict::Suspected);
   }
@@ -71,7 +71,7 @@
   {
     State state;
     Meet(state, kRequest, 3);
-    NoteAnswer(state, kRequest, kStart + kSecond);
+    RecordAnswer(state, kRequest, kStart + kSecond);
     CPPUNIT_ASSERT(JudgeAt(state, kStart + kSecond) == Verdict::Clear);
   }
 
@@ -79,17 +79,17 @@
   {
     State state;
     Meet(state, kRequest, 3);
-    NoteRelease(state, kRequest, kStart + kSecond);
+    RecordRelease(state, kRequest, kStart + kSecond);
     const Micros later = kStart + 2 * kSecond;
     CPPUNIT_ASSERT(JudgeAt(state, later) == Verdict::Clear);
-    NoteCrash(state, kRequest, At("t9", later));
+    RecordCrash(state, kRequest, At("t9", later));
     CPPUNIT_ASSERT(JudgeAt(state, later) == Verdict::Suspected);
   }
 
   void CrashesBesideARecentAnswerDoNotCount()
   {
     State state;
-    NoteAnswer(state, kRequest, kStart - kSecond);
+    RecordAnswer(state, kRequest, kStart - kSecond);
     Meet(state, kRequest, 5);
     CPPUNIT_ASSERT(JudgeAt(state) == Verdict::Clear);
   }
@@ -97,7 +97,7 @@
   void RequestThatTurnsHarmfulIsFoundAfterItsLastAnswer()
   {
     State state;
-    NoteAnswer(state, kRequest, kStart - 11 * kSecond);
+    RecordAnswer(state, kRequest, kStart - 11 * kSecond);
     Meet(state, kRequest, 3);
     CPPUNIT_ASSERT(JudgeAt(state) == Verdict::Quarantined);
   }
@@ -106,13 +106,13 @@
   {
     State state;
     Meet(state, kRequest, 3);
-    CPPUNIT_ASSERT(Judge(state, kRequest, kStart, { "v1", "v2" }) ==
+    CPPUNIT_ASSERT(Evaluate(state, kRequest, kStart, { "v1", "v2" }) ==
                    Verdict::Quarantined);
-    CPPUNIT_ASSERT(Judge(state, kRequest, kStart, { "v2" }) ==
+    CPPUNIT_ASSERT(Evaluate(state, kRequest, kStart, { "v2" }) ==
                    Verdict::OnTrial);
     // One crash of the new release is enough.
-    NoteCrash(state, kRequest, { "t9", "v2", kStart });
-    CPPUNIT_ASSERT(Judge(state, kRequest, kStart, { "v2" }) ==
+    RecordCrash(state, kRequest, { "t9", "v2", kStart });
+    CPPUNIT_ASSERT(Evaluate(state, kRequest, kStart, { "v2" }) ==
                    Verdict::Quarantined);
   }
 
@@ -131,16 +131,17 @@
   {
     State state;
     Meet(state, kRequest, 3);
-    CPPUNIT_ASSERT(Renew(state, kRequest, kStart + 30 * kSecond).empty());
+    CPPUNIT_ASSERT(
+      RenewEvidence(state, kRequest, kStart + 30 * kSecond).empty());
     for (Micros now = kStart; now < kStart + 3600 * kSecond;
          now += 100 * kSecond) {
       CPPUNIT_ASSERT(JudgeAt(state, now) == Verdict::Quarantined);
-      (void)Renew(state, kRequest, now);
+      (void)RenewEvidence(state, kRequest, now);
     }
     // What an operator has let go is not renewed.
-    NoteRelease(state, kRequest, kStart + 3600 * kSecond);
+    RecordRelease(state, kRequest, kStart + 3600 * kSecond);
     const Micros later = kStart + 3700 * kSecond;
-    CPPUNIT_ASSERT(Renew(state, kRequest, later).empty());
+    CPPUNIT_ASSERT(RenewEvidence(state, kRequest, later).empty());
     CPPUNIT_ASSERT(JudgeAt(state, later) == Verdict::Clear);
   }
 
@@ -149,7 +150,7 @@
     State state;
     Meet(state, kRequest, 3);
     for (std::uint64_t other = 100; other < 5100; ++other) {
-      NoteCrash(state, other, At("t", kStart + kSecond));
+      RecordCrash(state, other, At("t", kStart + kSecond));
     }
     CPPUNIT_ASSERT(JudgeAt(state, kStart + kSecond) == Verdict::Quarantined);
     CPPUNIT_ASSERT(state.mRecords.size() <= 1024);
@@ -159,11 +160,11 @@
   void AnswersAreRememberedForAWhile()
   {
     State state;
-    RememberAnswer(state, kRequest, kStart);
+    TrackRecentAnswer(state, kRequest, kStart);
     CPPUNIT_ASSERT_EQUAL(kStart, LastAnswer(state, kRequest));
-    RememberAnswer(state, 1, kStart + 11 * kSecond);
+    TrackRecentAnswer(state, 1, kStart + 11 * kSecond);
     CPPUNIT_ASSERT_EQUAL(kStart, LastAnswer(state, kRequest));
-    RememberAnswer(state, 1, kStart + 22 * kSecond);
+    TrackRecentAnswer(state, 1, kStart + 22 * kSecond);
     CPPUNIT_ASSERT_EQUAL(Micros(0), LastAnswer(state, kRequest));
   }
 };
