--- a/include/geraniumpond/quarantine.h
+++ b/include/geraniumpond/quarantine.h
@@ -60,9 +60,9 @@
 /// \brief Times of recent answers, in two generations that take turns.
 struct RecentAnswers
 {
-  std::array<std::unordered_map<std::uint64_t, Micros>, 2> mHalves;
+  std::array<std::unordered_map<std::uint64_t, Micros>, 2> mGenerations;
   std::size_t mCurrent = 0;
-  Micros mTurnAt = 0;
+  Micros mRotateAt = 0;
 };
 
 /// \brief Quarantine state of one host.
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -10,16 +10,16 @@
 
 /// Number of different targets whose crashes quarantine a request. One or two
 /// may be a coincidence that hits a request and its retry.
-constexpr int kCrashes = 3;
-constexpr Micros kLifetime = 600 * kSecond;
+constexpr int kQuarantineCrashes = 3;
+constexpr Micros kEvidenceLifetime = 600 * kSecond;
 /// A crash within this time after an answer does not count. It is long compared
 /// to the time in which hosts learn of each other's answers.
-constexpr Micros kAnswerCounts = 10 * kSecond;
+constexpr Micros kAnswerWindow = 10 * kSecond;
 /// Minimum age at which refused requests renew their evidence.
-constexpr Micros kRenewPace = 60 * kSecond;
-constexpr std::size_t kMostRecords = 1024;
-constexpr std::size_t kMostAnswers = 4096;
-constexpr std::size_t kMostCrashes = 16;
+constexpr Micros kRenewInterval = 60 * kSecond;
+constexpr std::size_t kMaxRecords = 1024;
+constexpr std::size_t kMaxRecentAnswers = 4096;
+constexpr std::size_t kMaxCrashes = 16;
 
 constexpr std::array<const char*, 4> kVerdictNames = {
   "clear",
@@ -31,9 +31,9 @@
 bool Counts(const Record& aRecord, const Crash& aCrash, Micros aNow)
 {
   const bool answered = aRecord.mAnsweredAt != 0 &&
-                        aCrash.mAt <= aRecord.mAnsweredAt + kAnswerCounts;
+                        aCrash.mAt <= aRecord.mAnsweredAt + kAnswerWindow;
   return !answered && aCrash.mAt > aRecord.mReleasedAt &&
-         aNow - aCrash.mAt <= kLifetime;
+         aNow - aCrash.mAt <= kEvidenceLifetime;
 }
 
 // Evicts the record with the fewest crashes, the oldest of these: many requests
@@ -61,7 +61,7 @@
   if (found != aState.mRecords.end()) {
     return found->second;
   }
-  if (aState.mRecords.size() >= kMostRecords) {
+  if (aState.mRecords.size() >= kMaxRecords) {
     EvictRecord(aState);
   }
   return aState.mRecords[aIdentity];
@@ -72,9 +72,9 @@
   const Micros updatedAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
   const bool crashed = std::any_of(
     aRecord.mCrashes.begin(), aRecord.mCrashes.end(), [&](const Crash& aCrash) {
-      return aNow - aCrash.mAt <= kLifetime;
+      return aNow - aCrash.mAt <= kEvidenceLifetime;
     });
-  return !crashed && aNow - updatedAt > kLifetime;
+  return !crashed && aNow - updatedAt > kEvidenceLifetime;
 }
 
 } // namespace
@@ -95,7 +95,7 @@
     same->mAt = std::max(same->mAt, aCrash.mAt);
     return;
   }
-  if (crashes.size() >= kMostCrashes) {
+  if (crashes.size() >= kMaxCrashes) {
     crashes.erase(crashes.begin());
   }
   crashes.push_back(aCrash);
@@ -116,21 +116,21 @@
 void TrackRecentAnswer(State& aState, std::uint64_t aIdentity, Micros aNow)
 {
   RecentAnswers& answers = aState.mAnswers;
-  if (aNow >= answers.mTurnAt ||
-      answers.mHalves[answers.mCurrent].size() >= kMostAnswers) {
+  if (aNow >= answers.mRotateAt ||
+      answers.mGenerations[answers.mCurrent].size() >= kMaxRecentAnswers) {
     answers.mCurrent = 1 - answers.mCurrent;
-    answers.mHalves[answers.mCurrent].clear();
-    answers.mTurnAt = aNow + kAnswerCounts;
+    answers.mGenerations[answers.mCurrent].clear();
+    answers.mRotateAt = aNow + kAnswerWindow;
   }
-  answers.mHalves[answers.mCurrent][aIdentity] = aNow;
+  answers.mGenerations[answers.mCurrent][aIdentity] = aNow;
 }
 
 Micros LastAnswer(const State& aState, std::uint64_t aIdentity)
 {
   Micros last = 0;
-  for (const auto& half : aState.mAnswers.mHalves) {
-    const auto found = half.find(aIdentity);
-    last = found == half.end() ? last : std::max(last, found->second);
+  for (const auto& generation : aState.mAnswers.mGenerations) {
+    const auto found = generation.find(aIdentity);
+    last = found == generation.end() ? last : std::max(last, found->second);
   }
   return last;
 }
@@ -162,10 +162,10 @@
       crash.mRelease.empty() || aReleases.count(crash.mRelease) != 0;
     ++(deployed ? current : gone);
   }
-  if (current + std::min(gone, kCrashes - 1) >= kCrashes) {
+  if (current + std::min(gone, kQuarantineCrashes - 1) >= kQuarantineCrashes) {
     return Verdict::Quarantined;
   }
-  if (current + gone >= kCrashes) {
+  if (current + gone >= kQuarantineCrashes) {
     return Verdict::OnTrial;
   }
   return current + gone > 0 ? Verdict::Suspected : Verdict::Clear;
@@ -195,7 +195,8 @@
     return renewed;
   }
   for (Crash& crash : found->second.mCrashes) {
-    if (Counts(found->second, crash, aNow) && aNow - crash.mAt > kRenewPace) {
+    if (Counts(found->second, crash, aNow) &&
+        aNow - crash.mAt > kRenewInterval) {
       crash.mAt = aNow;
       renewed.push_back(crash);
     }
