--- a/include/geraniumpond/rate_share.h
+++ b/include/geraniumpond/rate_share.h
@@ -50,20 +50,20 @@
 };
 
 /// \brief Recomputes a share after a change of the rate or the hosts.
-void Divide(Share& aShare,
-            const Members& aMembers,
-            const std::string& aName,
-            double aPerSecond,
-            Micros aNow);
+void UpdateShare(Share& aShare,
+                 const Members& aMembers,
+                 const std::string& aName,
+                 double aPerSecond,
+                 Micros aNow);
 
 /// \brief True if a request may be sent now.
-[[nodiscard]] bool HasRoom(const Share& aShare, Micros aNow) noexcept;
+[[nodiscard]] bool CanSend(const Share& aShare, Micros aNow) noexcept;
 
 /// \brief True if requests could have been sent for a while but none was: the
 /// rate may have changed without any host noticing.
-[[nodiscard]] bool IsUnused(const Share& aShare, Micros aNow) noexcept;
+[[nodiscard]] bool IsIdle(const Share& aShare, Micros aNow) noexcept;
 
 /// \brief Counts a request that is sent.
-void Take(Share& aShare, Micros aNow);
+void CountSent(Share& aShare, Micros aNow);
 
 } // namespace geraniumpond::rate_share
--- a/src/dispatch/choosing.cpp
+++ b/src/dispatch/choosing.cpp
@@ -212,7 +212,7 @@
   const auto found = std::find_if(
     aLook.mFresh.begin(), aLook.mFresh.end(), [&](const Target* aTarget) {
       return aTarget->mLimit && !aTarget->mSuspect &&
-             rate_share::IsUnused(aTarget->mShare, aNow) &&
+             rate_share::IsIdle(aTarget->mShare, aNow) &&
              aRequest.mTried.count(aTarget->mId) == 0 &&
              HasFreeSlot(*aTarget, aNow) &&
              aNow + ExpectedTime(*aTarget, aNeed, aNow) <=
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -44,7 +44,7 @@
   if (!aTarget.mLimit) {
     aTarget.mShare = rate_share::Share();
   } else if (!aState.mSharers.mDigests.empty()) {
-    rate_share::Divide(
+    rate_share::UpdateShare(
       aTarget.mShare, aState.mSharers, aTarget.mId, *aTarget.mLimit, aNow);
   }
   NoteHeld(aState.mServices[aTarget.mService], aTarget);
@@ -155,7 +155,7 @@
 
 bool HasRoomInLimit(const Target& aTarget, Micros aNow) noexcept
 {
-  return !aTarget.mLimit || rate_share::HasRoom(aTarget.mShare, aNow);
+  return !aTarget.mLimit || rate_share::CanSend(aTarget.mShare, aNow);
 }
 
 bool MayEverTake(const Target& aTarget) noexcept
--- a/src/dispatch/requests.cpp
+++ b/src/dispatch/requests.cpp
@@ -220,7 +220,7 @@
   attempt.mLargeBytes = LargeBytes(aState, need);
   aState.mLargeBytes += attempt.mLargeBytes;
   if (aTarget.mLimit) {
-    rate_share::Take(aTarget.mShare, aNow);
+    rate_share::CountSent(aTarget.mShare, aNow);
   }
   ++aTarget.mRunning;
   ++aTarget.mSentSince;
--- a/src/rate_share/rate_share.cpp
+++ b/src/rate_share/rate_share.cpp
@@ -79,11 +79,11 @@
   return IsMember(aMembers) && RankOf(aMembers, Hash64(aName)) == 0;
 }
 
-void Divide(Share& aShare,
-            const Members& aMembers,
-            const std::string& aName,
-            double aPerSecond,
-            Micros aNow)
+void UpdateShare(Share& aShare,
+                 const Members& aMembers,
+                 const std::string& aName,
+                 double aPerSecond,
+                 Micros aNow)
 {
   const double part = PartOf(aMembers, aName, aPerSecond);
   if (part > 0 && aShare.mPart == 0) {
@@ -102,7 +102,7 @@
   aShare.mBucket.mBurst = std::max(kSavedRequests, part * kSavedSeconds);
 }
 
-bool HasRoom(const Share& aShare, Micros aNow) noexcept
+bool CanSend(const Share& aShare, Micros aNow) noexcept
 {
   if (aShare.mPart <= 0 || aNow < aShare.mFrom) {
     return false;
@@ -112,12 +112,12 @@
   return aShare.mBucket.mLevel + seconds * aShare.mPart >= 1;
 }
 
-bool IsUnused(const Share& aShare, Micros aNow) noexcept
+bool IsIdle(const Share& aShare, Micros aNow) noexcept
 {
-  return HasRoom(aShare, aNow) && aNow - aShare.mTakenAt >= kUnusedTime;
+  return CanSend(aShare, aNow) && aNow - aShare.mTakenAt >= kUnusedTime;
 }
 
-void Take(Share& aShare, Micros aNow)
+void CountSent(Share& aShare, Micros aNow)
 {
   aShare.mTakenAt = aNow;
   (void)budget::Take(aShare.mBucket, aNow, 1);
--- a/tests/rate_share_test.cpp
+++ b/tests/rate_share_test.cpp
@@ -23,7 +23,8 @@
 {
   std::vector<Share> shares(aHosts.size());
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
-    Divide(shares[i], MakeMembers(aHosts, aHosts[i]), "t", aPerSecond, kStart);
+    UpdateShare(
+      shares[i], MakeMembers(aHosts, aHosts[i]), "t", aPerSecond, kStart);
   }
   return shares;
 }
@@ -33,8 +34,8 @@
 {
   int sent = 0;
   for (Micros now = aFrom; now < aFrom + aTime; now += kMillisecond) {
-    if (HasRoom(aShare, now)) {
-      Take(aShare, now);
+    if (CanSend(aShare, now)) {
+      CountSent(aShare, now);
       ++sent;
     }
   }
@@ -98,10 +99,10 @@
   void HostThatIsNotAmongTheMembersHoldsNothing()
   {
     Share share;
-    Divide(share, MakeMembers(Hosts(3), "other"), "t", 100, kStart);
-    CPPUNIT_ASSERT(!HasRoom(share, kStart + kSecond));
-    Divide(share, Members(), "t", 100, kStart);
-    CPPUNIT_ASSERT(!HasRoom(share, kStart + kSecond));
+    UpdateShare(share, MakeMembers(Hosts(3), "other"), "t", 100, kStart);
+    CPPUNIT_ASSERT(!CanSend(share, kStart + kSecond));
+    UpdateShare(share, Members(), "t", 100, kStart);
+    CPPUNIT_ASSERT(!CanSend(share, kStart + kSecond));
   }
 
   void HolderThatLosesItsPartEndsAtOnceAndTheNextOneWaits()
@@ -117,13 +118,13 @@
     const Micros later = kStart + 10 * kSecond;
     Micros first = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
-      Divide(shares[i], MakeMembers(left, all[i]), "t", 1.0, later);
+      UpdateShare(shares[i], MakeMembers(left, all[i]), "t", 1.0, later);
       for (Micros now = later; shares[i].mPart > 0 && first == 0;
            now += kMillisecond) {
-        first = HasRoom(shares[i], now) ? now : 0;
+        first = CanSend(shares[i], now) ? now : 0;
       }
     }
-    CPPUNIT_ASSERT(!HasRoom(shares[holder], later));
+    CPPUNIT_ASSERT(!CanSend(shares[holder], later));
     CPPUNIT_ASSERT(first >= later + 2 * kSecond);
   }
 
@@ -136,9 +137,9 @@
       for (const std::string& host : fewer) {
         Share share;
         const std::string text = std::to_string(name);
-        Divide(share, MakeMembers(all, host), text, 1.0, kStart);
+        UpdateShare(share, MakeMembers(all, host), text, 1.0, kStart);
         const bool before = share.mPart > 0;
-        Divide(share, MakeMembers(fewer, host), text, 1.0, kStart);
+        UpdateShare(share, MakeMembers(fewer, host), text, 1.0, kStart);
         moved += before != (share.mPart > 0) ? 1 : 0;
       }
     }
@@ -159,11 +160,11 @@
   void PartThatIsNotUsedIsSeen()
   {
     Share share;
-    Divide(share, MakeMembers(Hosts(1), Hosts(1)[0]), "t", 1.0, kStart);
-    CPPUNIT_ASSERT(!IsUnused(share, kStart + kSecond));
-    CPPUNIT_ASSERT(IsUnused(share, kStart + 2 * kSecond));
-    Take(share, kStart + 2 * kSecond);
-    CPPUNIT_ASSERT(!IsUnused(share, kStart + 3 * kSecond));
+    UpdateShare(share, MakeMembers(Hosts(1), Hosts(1)[0]), "t", 1.0, kStart);
+    CPPUNIT_ASSERT(!IsIdle(share, kStart + kSecond));
+    CPPUNIT_ASSERT(IsIdle(share, kStart + 2 * kSecond));
+    CountSent(share, kStart + 2 * kSecond);
+    CPPUNIT_ASSERT(!IsIdle(share, kStart + 3 * kSecond));
   }
 };
 
