--- a/include/geraniumpond/rate_share.h
+++ b/include/geraniumpond/rate_share.h
@@ -39,13 +39,13 @@
 struct Share
 {
   /// Requests per second; 0 if this host has no share.
-  double mPart = 0;
+  double mRate = 0;
   /// When the share takes effect.
-  Micros mFrom = 0;
+  Micros mEffectiveFrom = 0;
   /// When a request was last sent, or the share took effect.
-  Micros mTakenAt = 0;
+  Micros mLastSentAt = 0;
   /// Whether the rate has been divided before.
-  bool mDivided = false;
+  bool mInitialized = false;
   budget::TokenBucket mBucket;
 };
 
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -27,14 +27,14 @@
 {
   return " target=" + aTarget.mId + " service=" + aTarget.mService +
          " per_second=" + RateText(aTarget.mLimit.value_or(0)) +
-         " part=" + RateText(aTarget.mShare.mPart);
+         " part=" + RateText(aTarget.mShare.mRate);
 }
 
 void NoteHeld(Service& aService, const Target& aTarget)
 {
   auto& held = aService.mHeld;
   held.erase(std::remove(held.begin(), held.end(), aTarget.mId), held.end());
-  if (aTarget.mLimit && aTarget.mShare.mPart > 0) {
+  if (aTarget.mLimit && aTarget.mShare.mRate > 0) {
     held.push_back(aTarget.mId);
   }
 }
@@ -160,7 +160,7 @@
 
 bool MayEverTake(const Target& aTarget) noexcept
 {
-  return !aTarget.mLimit || aTarget.mShare.mPart > 0;
+  return !aTarget.mLimit || aTarget.mShare.mRate > 0;
 }
 
 bool NeedsSharers(const State& aState) noexcept
--- a/src/rate_share/rate_share.cpp
+++ b/src/rate_share/rate_share.cpp
@@ -13,13 +13,13 @@
 constexpr double kHolderRate = 1;
 /// Lower rates are raised to this one, so that some host still sends requests
 /// and notices when the limit ends.
-constexpr double kLeastRate = 0.1;
+constexpr double kMinRate = 0.1;
 /// Time in which hosts learn that another one joined, left or stopped.
-constexpr Micros kHandover = 2 * kSecond;
+constexpr Micros kHandoverDelay = 2 * kSecond;
 /// Burst size of a holder, since requests arrive in bursts.
-constexpr double kSavedRequests = 1.5;
-constexpr double kSavedSeconds = 0.1;
-constexpr Micros kUnusedTime = 2 * kSecond;
+constexpr double kBurstRequests = 1.5;
+constexpr double kBurstSeconds = 0.1;
+constexpr Micros kIdleTime = 2 * kSecond;
 
 std::uint64_t Weight(std::uint64_t aHost, std::uint64_t aName) noexcept
 {
@@ -44,14 +44,14 @@
   return std::find(hosts.begin(), hosts.end(), aMembers.mOwn) != hosts.end();
 }
 
-double PartOf(const Members& aMembers,
-              const std::string& aName,
-              double aPerSecond)
+double ShareRate(const Members& aMembers,
+                 const std::string& aName,
+                 double aPerSecond)
 {
   if (!IsMember(aMembers)) {
     return 0;
   }
-  const double rate = std::max(kLeastRate, aPerSecond);
+  const double rate = std::max(kMinRate, aPerSecond);
   const double holders =
     std::clamp(std::ceil(rate / kHolderRate),
                1.0,
@@ -85,41 +85,41 @@
                  double aPerSecond,
                  Micros aNow)
 {
-  const double part = PartOf(aMembers, aName, aPerSecond);
-  if (part > 0 && aShare.mPart == 0) {
+  const double rate = ShareRate(aMembers, aName, aPerSecond);
+  if (rate > 0 && aShare.mRate == 0) {
     // No host held a share of a rate that was not divided before, so there is
     // no handover to wait for.
-    aShare.mFrom = aShare.mDivided ? aNow + kHandover : aNow;
-    aShare.mTakenAt = aShare.mFrom;
+    aShare.mEffectiveFrom = aShare.mInitialized ? aNow + kHandoverDelay : aNow;
+    aShare.mLastSentAt = aShare.mEffectiveFrom;
     aShare.mBucket = budget::TokenBucket();
     aShare.mBucket.mLevel = 0;
-    aShare.mBucket.mUpdatedAt = aShare.mFrom;
+    aShare.mBucket.mUpdatedAt = aShare.mEffectiveFrom;
   }
-  (void)budget::Take(aShare.mBucket, std::max(aNow, aShare.mFrom), 0);
-  aShare.mDivided = true;
-  aShare.mPart = part;
-  aShare.mBucket.mPerSecond = part;
-  aShare.mBucket.mBurst = std::max(kSavedRequests, part * kSavedSeconds);
+  (void)budget::Take(aShare.mBucket, std::max(aNow, aShare.mEffectiveFrom), 0);
+  aShare.mInitialized = true;
+  aShare.mRate = rate;
+  aShare.mBucket.mPerSecond = rate;
+  aShare.mBucket.mBurst = std::max(kBurstRequests, rate * kBurstSeconds);
 }
 
 bool CanSend(const Share& aShare, Micros aNow) noexcept
 {
-  if (aShare.mPart <= 0 || aNow < aShare.mFrom) {
+  if (aShare.mRate <= 0 || aNow < aShare.mEffectiveFrom) {
     return false;
   }
   const double seconds =
     static_cast<double>(aNow - aShare.mBucket.mUpdatedAt) / kSecond;
-  return aShare.mBucket.mLevel + seconds * aShare.mPart >= 1;
+  return aShare.mBucket.mLevel + seconds * aShare.mRate >= 1;
 }
 
 bool IsIdle(const Share& aShare, Micros aNow) noexcept
 {
-  return CanSend(aShare, aNow) && aNow - aShare.mTakenAt >= kUnusedTime;
+  return CanSend(aShare, aNow) && aNow - aShare.mLastSentAt >= kIdleTime;
 }
 
 void CountSent(Share& aShare, Micros aNow)
 {
-  aShare.mTakenAt = aNow;
+  aShare.mLastSentAt = aNow;
   (void)budget::Take(aShare.mBucket, aNow, 1);
 }
 
--- a/tests/rate_share_test.cpp
+++ b/tests/rate_share_test.cpp
@@ -64,7 +64,7 @@
       for (const double rate : { 0.5, 1.0, 3.4, 50.0, 5000.0 }) {
         double sum = 0;
         for (const Share& share : DivideAmong(Hosts(count), rate)) {
-          sum += share.mPart;
+          sum += share.mRate;
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(rate, sum, 1e-6 * rate);
       }
@@ -110,7 +110,7 @@
     const std::vector<std::string> all = Hosts(19);
     std::vector<Share> shares = DivideAmong(all, 1.0);
     std::size_t holder = 0;
-    while (shares[holder].mPart == 0) {
+    while (shares[holder].mRate == 0) {
       ++holder;
     }
     std::vector<std::string> left = all;
@@ -119,7 +119,7 @@
     Micros first = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
       UpdateShare(shares[i], MakeMembers(left, all[i]), "t", 1.0, later);
-      for (Micros now = later; shares[i].mPart > 0 && first == 0;
+      for (Micros now = later; shares[i].mRate > 0 && first == 0;
            now += kMillisecond) {
         first = CanSend(shares[i], now) ? now : 0;
       }
@@ -138,9 +138,9 @@
         Share share;
         const std::string text = std::to_string(name);
         UpdateShare(share, MakeMembers(all, host), text, 1.0, kStart);
-        const bool before = share.mPart > 0;
+        const bool before = share.mRate > 0;
         UpdateShare(share, MakeMembers(fewer, host), text, 1.0, kStart);
-        moved += before != (share.mPart > 0) ? 1 : 0;
+        moved += before != (share.mRate > 0) ? 1 : 0;
       }
     }
     // One of twenty names had its holder among those that went.
