--- a/include/geraniumpond/policy.h
+++ b/include/geraniumpond/policy.h
@@ -60,7 +60,7 @@
 };
 
 /// \brief Settings of a service.
-struct ServiceRules
+struct ServiceSettings
 {
   std::string mName;
   std::string mHealthPath = "/health";
@@ -83,7 +83,7 @@
   std::uint64_t mVersion = 0;
   std::uint64_t mBaseVersion = 0;
   std::vector<Route> mRoutes;
-  std::map<std::string, ServiceRules> mServices;
+  std::map<std::string, ServiceSettings> mServices;
   RequestLimits mLimits;
   /// Index of a route by host name and prefix; see BuildIndex().
   std::unordered_map<std::string, std::size_t> mIndex;
@@ -94,7 +94,7 @@
 
 /// \brief Validates a policy.
 /// \return A message for each error; empty if it is valid.
-[[nodiscard]] std::vector<std::string> FaultsOf(const TrafficPolicy& aPolicy);
+[[nodiscard]] std::vector<std::string> Validate(const TrafficPolicy& aPolicy);
 
 /// \brief Builds the index that FindRoute() needs.
 void BuildIndex(TrafficPolicy& aPolicy);
--- a/src/config/policy_file.cpp
+++ b/src/config/policy_file.cpp
@@ -99,7 +99,7 @@
     } else if (section.mType == "route") {
       ReadRoute(section, result.mValue);
     } else if (section.mType == "service") {
-      ServiceRules& rules = result.mValue.mServices[section.mName];
+      ServiceSettings& rules = result.mValue.mServices[section.mName];
       rules.mName = section.mName;
       rules.mHealthPath = section.Text("health_path");
       rules.mMaxConnections =
@@ -109,7 +109,7 @@
     }
   }
   if (result.Ok()) {
-    for (const std::string& fault : FaultsOf(result.mValue)) {
+    for (const std::string& fault : Validate(result.mValue)) {
       result.mFaults.push_back({ aFile, 0, "policy", fault, "a sound policy" });
     }
   }
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -196,7 +196,7 @@
   // What is known of a service without rules is its name alone.
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
-      service.mHealthPath = policy::ServiceRules().mHealthPath;
+      service.mHealthPath = policy::ServiceSettings().mHealthPath;
     }
     ProbeNewcomers(aState, aNow, service);
   }
@@ -238,7 +238,7 @@
   }
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
-      service.mHealthPath = policy::ServiceRules().mHealthPath;
+      service.mHealthPath = policy::ServiceSettings().mHealthPath;
     }
     ChooseSubset(aState, service);
     ProbeNewcomers(aState, aNow, service);
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -224,7 +224,7 @@
   if (!decoded) {
     fault = decoded.error().mMessage;
   } else {
-    const std::vector<std::string> faults = policy::FaultsOf(decoded.value());
+    const std::vector<std::string> faults = policy::Validate(decoded.value());
     fault = faults.empty() ? "" : faults.front();
   }
   if (!fault.empty()) {
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -22,7 +22,7 @@
   return lower;
 }
 
-std::string_view WithoutPort(std::string_view aHost)
+std::string_view StripPort(std::string_view aHost)
 {
   const std::size_t colon = aHost.rfind(':');
   return colon == std::string_view::npos ? aHost : aHost.substr(0, colon);
@@ -36,9 +36,9 @@
   return key;
 }
 
-void CheckRoute(const TrafficPolicy& aPolicy,
-                const Route& aRoute,
-                std::vector<std::string>& aFaults)
+void ValidateRoute(const TrafficPolicy& aPolicy,
+                   const Route& aRoute,
+                   std::vector<std::string>& aFaults)
 {
   const auto addError = [&](const std::string& aText) {
     aFaults.push_back("route " + aRoute.mName + ": " + aText);
@@ -100,7 +100,7 @@
   return aKind != RouteKind::Unsafe;
 }
 
-std::vector<std::string> FaultsOf(const TrafficPolicy& aPolicy)
+std::vector<std::string> Validate(const TrafficPolicy& aPolicy)
 {
   std::vector<std::string> faults;
   if (aPolicy.mVersion == 0) {
@@ -111,7 +111,7 @@
   }
   std::set<std::string> keys;
   for (const Route& route : aPolicy.mRoutes) {
-    CheckRoute(aPolicy, route, faults);
+    ValidateRoute(aPolicy, route, faults);
     if (!keys.insert(IndexKey(route.mHostName, route.mPathPrefix)).second) {
       faults.push_back(
         "route " + route.mName +
@@ -135,7 +135,7 @@
                        std::string_view aPath)
 {
   std::string_view path = aPath.substr(0, aPath.find('?'));
-  const std::string_view host = WithoutPort(aHost);
+  const std::string_view host = StripPort(aHost);
   // Prefixes usually end with a slash, so that only the whole path and its
   // prefixes that end with one are tried, longest first.
   bool whole = true;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -90,7 +90,7 @@
     const auto decoded = DecodePolicy(kDocument);
     CPPUNIT_ASSERT(decoded);
     const policy::TrafficPolicy& read = decoded.value();
-    CPPUNIT_ASSERT(policy::FaultsOf(read).empty());
+    CPPUNIT_ASSERT(policy::Validate(read).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), read.mVersion);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), read.mBaseVersion);
     const policy::Route& route = read.mRoutes[0];
@@ -128,7 +128,7 @@
       const std::string text = Replaced(kDocument, from, to);
       const auto decoded = DecodePolicy(text);
       CPPUNIT_ASSERT_MESSAGE(
-        to, !decoded || !policy::FaultsOf(decoded.value()).empty());
+        to, !decoded || !policy::Validate(decoded.value()).empty());
     }
     const std::string whole = kDocument;
     for (std::size_t cut = 0; cut < whole.size(); cut += 7) {
