--- a/include/geraniumpond/text_delta.h
+++ b/include/geraniumpond/text_delta.h
@@ -12,8 +12,8 @@
 
 /// \brief The delta from `aBase` to `aNext`: the part between their common
 /// prefix and suffix.
-[[nodiscard]] wire::TextDelta Between(const std::string& aBase,
-                                      const std::string& aNext);
+[[nodiscard]] wire::TextDelta MakeDelta(const std::string& aBase,
+                                        const std::string& aNext);
 
 /// \brief Applies a delta; Corrupt if `aBase` is not the text it was made from.
 [[nodiscard]] Result<std::string> Apply(const std::string& aBase,
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -87,7 +87,7 @@
     return;
   }
   wire::ApplyDeployment& apply = *aCommand.mutable_apply();
-  *apply.mutable_delta() = text_delta::Between(latest->text(), apply.text());
+  *apply.mutable_delta() = text_delta::MakeDelta(latest->text(), apply.text());
   apply.clear_text();
 }
 
--- a/src/core/text_delta.cpp
+++ b/src/core/text_delta.cpp
@@ -6,7 +6,7 @@
 
 namespace geraniumpond::text_delta {
 
-wire::TextDelta Between(const std::string& aBase, const std::string& aNext)
+wire::TextDelta MakeDelta(const std::string& aBase, const std::string& aNext)
 {
   const std::size_t most = std::min(aBase.size(), aNext.size());
   std::size_t prefix = 0;
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -29,8 +29,8 @@
   wire::DeploymentPush push;
   *push.mutable_deployment() = aState.mVersion;
   if (aState.mPreviousVersion.version() + 1 == aState.mVersion.version()) {
-    *push.mutable_delta() = text_delta::Between(aState.mPreviousVersion.text(),
-                                                aState.mVersion.text());
+    *push.mutable_delta() = text_delta::MakeDelta(
+      aState.mPreviousVersion.text(), aState.mVersion.text());
     push.mutable_delta()->set_base_version(aState.mPreviousVersion.version());
     push.mutable_deployment()->clear_text();
   }
--- a/tests/text_delta_test.cpp
+++ b/tests/text_delta_test.cpp
@@ -22,13 +22,14 @@
       const std::string base = Text(random);
       const std::string next = Text(random);
       CPPUNIT_ASSERT_EQUAL(
-        next, text_delta::Apply(base, text_delta::Between(base, next)).value());
+        next,
+        text_delta::Apply(base, text_delta::MakeDelta(base, next)).value());
     }
   }
 
   void DeltaOnAnotherBaseIsRefused()
   {
-    const wire::TextDelta delta = text_delta::Between("a = 1", "a = 2");
+    const wire::TextDelta delta = text_delta::MakeDelta("a = 1", "a = 2");
     CPPUNIT_ASSERT(!text_delta::Apply("b = 1", delta));
     CPPUNIT_ASSERT(!text_delta::Apply("", delta));
   }
@@ -38,7 +39,7 @@
     std::string base(100000, 'x');
     std::string next = base;
     next.insert(5000, "slots = 5\n");
-    CPPUNIT_ASSERT(text_delta::Between(base, next).ByteSizeLong() < 64);
+    CPPUNIT_ASSERT(text_delta::MakeDelta(base, next).ByteSizeLong() < 64);
   }
 
 private:
