--- a/include/geraniumpond/gossip.h
+++ b/include/geraniumpond/gossip.h
@@ -47,7 +47,7 @@
   Micros mRefresh;
   std::size_t mMaxItems;
 };
-[[nodiscard]] const KindLimits& RulesOf(Kind aKind) noexcept;
+[[nodiscard]] const KindLimits& KindLimitsOf(Kind aKind) noexcept;
 
 /// \brief One fact.
 struct Item
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -16,7 +16,7 @@
 constexpr int kMaxItemsPerMessage = 128;
 constexpr Micros kExpireInterval = 1 * kSecond;
 
-constexpr std::array<KindLimits, kKindCount> kRules = {
+constexpr std::array<KindLimits, kKindCount> kKindLimits = {
   KindLimits{ "request_crash", 600 * kSecond, 30 * kSecond, 1024 },
   KindLimits{ "request_answered", 600 * kSecond, 3 * kSecond, 1024 },
   KindLimits{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
@@ -54,21 +54,22 @@
   }
   const Item& known = found->second.mItem;
   const Micros later = aItem.mObservedAt - known.mObservedAt;
-  return aItem.mValue == known.mValue ? later > RulesOf(aItem.mKind).mRefresh
-                                      : later > 0;
+  return aItem.mValue == known.mValue
+           ? later > KindLimitsOf(aItem.mKind).mRefresh
+           : later > 0;
 }
 
 bool Merge(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
 {
-  const KindLimits& rules = RulesOf(aItem.mKind);
-  if (aNow - aItem.mObservedAt > rules.mLifetime || !IsNew(aState, aItem)) {
+  const KindLimits& limits = KindLimitsOf(aItem.mKind);
+  if (aNow - aItem.mObservedAt > limits.mLifetime || !IsNew(aState, aItem)) {
     return false;
   }
   const ItemKey key(aItem.mKind, aItem.mKey);
   if (aState.mEntries.count(key) != 0) {
     RemoveEntry(aState, key);
   } else if (aState.mCounts[static_cast<std::size_t>(aItem.mKind)] >=
-             rules.mMaxItems) {
+             limits.mMaxItems) {
     DropOldest(aState, aItem.mKind);
   }
   const std::uint64_t sequence = ++aState.mSequence;
@@ -188,7 +189,7 @@
   aState.mExpireAt = aNow + kExpireInterval;
   std::vector<ItemKey> expired;
   for (const auto& [key, entry] : aState.mEntries) {
-    if (aNow - entry.mItem.mObservedAt > RulesOf(key.first).mLifetime) {
+    if (aNow - entry.mItem.mObservedAt > KindLimitsOf(key.first).mLifetime) {
       expired.push_back(key);
     }
   }
@@ -199,9 +200,9 @@
 
 } // namespace
 
-const KindLimits& RulesOf(Kind aKind) noexcept
+const KindLimits& KindLimitsOf(Kind aKind) noexcept
 {
-  return kRules[static_cast<std::size_t>(aKind)];
+  return kKindLimits[static_cast<std::size_t>(aKind)];
 }
 
 bool Publish(State& aState, Micros aNow, Item aItem)
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -189,7 +189,7 @@
 
   void OldFactIsForgottenByAllAtAboutTheSameTime()
   {
-    const Micros lifetime = RulesOf(Kind::RequestCrash).mLifetime;
+    const Micros lifetime = KindLimitsOf(Kind::RequestCrash).mLifetime;
     Line line(3);
     (void)Publish(
       line.mStates[0], line.mNow, Crash("a", kStart - lifetime + 5 * kSecond));
@@ -201,7 +201,7 @@
 
   void OldestGoesFirstWhereThereAreTooMany()
   {
-    const std::size_t most = RulesOf(Kind::RequestCrash).mMaxItems;
+    const std::size_t most = KindLimitsOf(Kind::RequestCrash).mMaxItems;
     State state;
     for (std::size_t i = 0; i <= most; ++i) {
       const Micros at = kStart + static_cast<Micros>(i);
