--- a/bench/gateway_search.cpp
+++ b/bench/gateway_search.cpp
@@ -1,12 +1,13 @@
-// A seeded search for schedules of faults around whole gateway hosts after
-// which a promise is broken: requests that end targets, limits that targets
-// name, targets and hosts that end, fall silent, freeze, are cut off or
-// replaced.
+// Randomized search for fault schedules that violate a guarantee of simulated
+// gateway hosts. Faults are requests that crash targets, limits that targets
+// announce, and targets and hosts that crash, stop answering, freeze, are
+// isolated or replaced.
 //
-//   gateway_search --seeds N [--first S]   a range of seeds
-//   gateway_search --show S                one seed's smallest part
-//   gateway_search --plant facts           hosts hear of no facts; ends with 1
-//                                          where that is found
+//   gateway_search --seeds N [--first S]   runs a range of seeds
+//   gateway_search --show S                minimizes the schedule of one seed
+//   gateway_search --plant facts           loses all gossip messages; exits
+//   with 1
+//                                          if a violation is found
 #include "fakes/gateway_schedule.h"
 #include "fakes/options.h"
 
--- a/bench/harmful_bench.cpp
+++ b/bench/harmful_bench.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <utility>
 
-/// \brief What one request costs that ends each target that runs it and comes
-/// again at any host, by the number of hosts.
+/// \brief Measures the damage of a request that crashes every target that runs
+/// it and is sent repeatedly to random hosts, by number of hosts.
 namespace {
 
 using geraniumpond::kMillisecond;
@@ -35,7 +35,8 @@
   return count;
 }
 
-// From the third end until 99 of 100 hosts refuse; negative for never.
+// Time from the third crash until 99% of the hosts refuse the request; negative
+// if they never do.
 Micros TimeUntilRefused(GatewayWorld& aWorld, Micros aMost)
 {
   const Micros until = aWorld.Now() + aMost;
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <vector>
 
-/// \brief What targets get that name a limit for all hosts together, by the
-/// number of hosts: the most in any window, and how much of it is used while
-/// work waits.
+/// \brief Measures the load on targets that announce a limit for all hosts
+/// combined, by number of hosts: the maximum in any window, and how much of the
+/// limit is used while requests wait.
 namespace {
 
 using geraniumpond::kSecond;
@@ -25,7 +25,8 @@
   return aArrival.mTarget.substr(0, aArrival.mTarget.find('#'));
 }
 
-// Most arrivals in any window over what is allowed, of the worst target.
+// Maximum number of arrivals in any window at any target, relative to the
+// allowed number.
 double WorstWindow(const std::map<std::string, std::vector<Micros>>& aArrivals,
                    double aLimit)
 {
@@ -50,7 +51,7 @@
   load.mControlHosts = aHosts > 50 ? 6 : 4;
   load.mOtherHosts = aHosts - load.mControlHosts;
   load.mTargets = aTargets;
-  // What the targets without a limit can do.
+  // Relative to the capacity of the targets without a limit.
   load.mPerSecond = aLoad * (aTargets - aLimited) * load.mSlots * kSecond /
                     static_cast<double>(load.mWork);
   GatewayWorld world(load, 7);
--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -4,7 +4,7 @@
 
 namespace geraniumpond::catalog {
 
-/// \brief Incarnations of one target as the catalog tells them apart.
+/// \brief How the catalog handles several incarnations of a target.
 class CatalogTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CatalogTest);
--- a/tests/fakes/gateway_schedule.cpp
+++ b/tests/fakes/gateway_schedule.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// Time in which hosts that were not disturbed hear of each other.
+/// Time in which undisturbed hosts learn of each other's facts.
 constexpr Micros kContact = 3 * kSecond;
 constexpr Micros kFaultTime = 24 * kSecond;
-/// From the last fault until all must be well, and for how long that is seen.
+/// Time from the last fault until service must be normal, and for how long that
+/// is checked.
 constexpr Micros kRecover = 12 * kSecond;
 constexpr Micros kCalm = 5 * kSecond;
 constexpr std::size_t kEnds = 3;
@@ -31,12 +32,13 @@
   "control_killed", "all_killed",
 };
 
-/// \brief When hosts and the group were disturbed, and what targets named.
+/// \brief When hosts and the control group were disturbed, and the announced
+/// limits.
 struct Record
 {
-  /// By host; the group's own is beyond the last one.
+  /// By host; kGroup for the control group.
   std::map<std::size_t, std::vector<std::pair<Micros, Micros>>> mDisturbed;
-  /// By target address: from when, until when, and the rate.
+  /// Start and end of each limit, by target address.
   std::map<std::string, std::vector<std::pair<Micros, Micros>>> mLimits;
   std::map<std::string, double> mRates;
 };
@@ -64,7 +66,7 @@
   return "/harmful" + std::to_string(aWhich % 2);
 }
 
-/// \brief Plays the steps of a schedule in a world.
+/// \brief Runs the steps of a schedule in a simulation.
 class Player
 {
 public:
@@ -191,7 +193,8 @@
     }
   }
 
-  // The first answer names it a little later; a target has one limit in a day.
+  // Hosts learn the limit only from the first answer after this. Each target
+  // has at most one limit per schedule.
   void StartLimit(const GatewayStep& aStep,
                   const std::string& aTarget,
                   Micros aUntil)
@@ -244,7 +247,7 @@
     }
   }
 
-  // Arrivals of hosts that were disturbed lately do not count.
+  // Arrivals from recently disturbed hosts do not count.
   bool Counts(const TargetArrival& aArrival) const
   {
     return !IsDisturbed(mRecord, aArrival.mHostIndex, aArrival.mAt);
@@ -256,7 +259,7 @@
       if (ends.size() < kEnds) {
         continue;
       }
-      // A fleet that was lost as a whole learns anew.
+      // A fleet that failed as a whole has to detect the request again.
       const Micros from = ends[kEnds - 1] + kContact;
       const std::string& asked = path;
       const auto later = static_cast<std::size_t>(
@@ -284,13 +287,14 @@
         const double most = MostArrivals(address, from, until);
         if (most > allowed) {
           char text[128];
-          std::snprintf(text,
-                        sizeof(text),
-                        "%s named %.1f a second and got %.0f, allowed %.0f",
-                        address.c_str(),
-                        rate,
-                        most,
-                        allowed);
+          std::snprintf(
+            text,
+            sizeof(text),
+            "%s has a limit of %.1f per second and got %.0f, allowed %.0f",
+            address.c_str(),
+            rate,
+            most,
+            allowed);
           return text;
         }
       }
@@ -306,7 +310,7 @@
     for (const TargetArrival& arrival : mWorld.mArrivals) {
       const bool here =
         arrival.mTarget.compare(0, aAddress.size() + 1, aAddress + "#") == 0;
-      // A limit is one incarnation's.
+      // A limit applies to one incarnation only.
       if (here && arrival.mLimited && arrival.mAt >= aFrom &&
           arrival.mAt <= aUntil && Counts(arrival)) {
         times.push_back(arrival.mAt);
@@ -323,8 +327,8 @@
     return static_cast<double>(most);
   }
 
-  // Requests count in the window itself, the one before it, or the one half a
-  // window before it, whichever has most.
+  // The requests are counted in the same window, the one before it or the one
+  // half a window earlier, whichever has most.
   std::string ExtraFault() const
   {
     std::vector<Micros> extra;
@@ -345,9 +349,9 @@
                                       within(requests, at - kExtraWindow) });
       most = std::max(most, within(extra, at) - kExtraRatio * asked);
     }
-    return most > kExtraFloor
-             ? "extra arrivals beyond the share: " + std::to_string(most)
-             : "";
+    return most > kExtraFloor ? "extra arrivals beyond the allowed ratio: " +
+                                  std::to_string(most)
+                              : "";
   }
 
   std::string CalmFault(const GatewayTally& aBefore) const
@@ -357,7 +361,7 @@
                       aBefore.mRefused - aBefore.mFailed;
     const int served = mWorld.mTally.mServed - aBefore.mServed;
     return served < kServedInCalm * ended
-             ? "served in the calm after all faults: " +
+             ? "served after recovery from all faults: " +
                  std::to_string(served) + " of " + std::to_string(ended)
              : "";
   }
@@ -398,7 +402,8 @@
   const std::size_t count = 3 + random() % 10;
   for (std::size_t i = 0; i < count; ++i) {
     GatewayStep step;
-    // Two of the kinds are drawn more often: they are what this looks for.
+    // Harmful requests and limits are drawn more often, since they are the main
+    // subject of the search.
     const std::size_t kind = random() % (kFaultNames.size() + 6);
     step.mFault =
       kind < kFaultNames.size()
--- a/tests/fakes/gateway_schedule.h
+++ b/tests/fakes/gateway_schedule.h
@@ -6,15 +6,15 @@
 #include <string>
 #include <vector>
 
-/// \brief Schedules of faults around whole gateway hosts, drawn by seed, and
-/// the promises that must hold under them.
+/// \brief Random fault schedules for simulated gateway hosts, generated from a
+/// seed, and the guarantees that must hold under them.
 namespace geraniumpond::fakes {
 
 enum class GatewayFault
 {
-  /// A request that ends each target that runs it comes again and again.
+  /// A request that crashes every target that runs it is sent repeatedly.
   Harmful,
-  /// A target names a limit.
+  /// A target announces a limit.
   Limit,
   TargetEnds,
   TargetsEnd,
@@ -31,15 +31,15 @@
 };
 [[nodiscard]] const char* ToString(GatewayFault aFault) noexcept;
 
-/// \brief One fault, when, how long, and of what.
+/// \brief One fault: kind, time, duration and subject.
 struct GatewayStep
 {
   Micros mAt = 0;
   GatewayFault mFault = GatewayFault::Harmful;
   Micros mFor = 0;
-  /// Which host or target, counted round.
+  /// Index of the host or target, modulo their number.
   std::size_t mWhich = 0;
-  /// Limits: requests a second. Harmful requests: times a second.
+  /// Limit or rate of harmful requests, in requests per second.
   double mRate = 0;
 };
 
@@ -48,28 +48,28 @@
   std::uint64_t mSeed = 0;
   GatewayLoad mLoad;
   std::vector<GatewayStep> mSteps;
-  /// A planted fault: hosts do not hear of each other's facts.
+  /// Injected fault: all gossip messages are lost.
   bool mLosesFacts = false;
 };
 
 [[nodiscard]] GatewaySchedule MakeGatewaySchedule(std::uint64_t aSeed);
 
-/// \brief What a play showed.
+/// \brief Result of running a schedule.
 struct GatewayOutcome
 {
-  /// The first promise that was broken; empty for none.
+  /// The first violated guarantee; empty for none.
   std::string mBroken;
-  /// Requests of innocents that were refused as quarantined.
+  /// Harmless requests that were refused as quarantined.
   int mInnocents = 0;
   int mOffered = 0;
-  /// Targets that ended under the harmful request of each path, at most.
+  /// Maximum number of targets crashed by one harmful request.
   std::size_t mMostEnds = 0;
 };
 
 [[nodiscard]] GatewayOutcome PlayGatewaySchedule(
   const GatewaySchedule& aSchedule);
 
-/// \brief Drops steps that are not needed to break a promise.
+/// \brief Removes steps that are not needed to violate a guarantee.
 [[nodiscard]] GatewaySchedule ShrinkGatewaySchedule(GatewaySchedule aSchedule);
 
 [[nodiscard]] std::string Describe(const GatewaySchedule& aSchedule);
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// One way between any two of hosts and targets.
+/// One-way delay between any two hosts or targets.
 constexpr Micros kTrip = 1500;
 constexpr Micros kSyncTime = kMillisecond;
 constexpr Micros kStep = kMillisecond;
 constexpr Micros kDrainTime = 2 * kSecond;
-/// After these a host gives up a probe, and a connect.
+/// Timeouts of a probe and of a connection attempt.
 constexpr Micros kProbePatience = 400 * kMillisecond;
 constexpr Micros kConnectPatience = 300 * kMillisecond;
 constexpr Micros kRenewal = 1500 * kMillisecond;
@@ -154,7 +154,7 @@
        gateway::ReleaseRequest{ ++mLast, dispatch::IdentityOf(arrival) });
 }
 
-// Clients of a host that was killed have no answer.
+// Clients of a killed host get no answer.
 void GatewayWorld::KillHost(std::size_t aHost)
 {
   mHosts[aHost].mAlive = false;
@@ -572,7 +572,7 @@
   Post(host, std::move(arrival));
 }
 
-// What may have run comes back only where it may be repeated.
+// A request that may have run is retried only if it is idempotent.
 void GatewayWorld::EndClient(std::size_t aHost,
                              std::uint64_t aRequest,
                              int aStatus)
@@ -669,7 +669,7 @@
   if (aEffect.mStatus == 503 && !mLoad.mIdempotent) {
     mRefused.insert(key);
     if (mRuns.count(key) != 0) {
-      mBroken.push_back("refused though it ran: " + aEffect.mReason);
+      mBroken.push_back("refused although it ran: " + aEffect.mReason);
     }
   }
   const auto client = mClients.find(key);
--- a/tests/fakes/gateway_world.h
+++ b/tests/fakes/gateway_world.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-/// \brief Whole gateway hosts, targets that may end, and clients, in virtual
-/// time.
+/// \brief Simulation of gateway hosts, targets that may crash, and clients, in
+/// virtual time.
 namespace geraniumpond::fakes {
 
-/// \brief The deployment and what its clients do.
+/// \brief The simulated deployment and its load.
 struct GatewayLoad
 {
   int mControlHosts = 4;
@@ -30,40 +30,40 @@
   Micros mTimeout = 800 * kMillisecond;
   bool mIdempotent = true;
   int mAttempts = 2;
-  /// How often a client comes back that was refused or failed.
+  /// Number of retries of a client whose request was refused or failed.
   int mReturns = 1;
-  /// From the end of a target to its next start, under another id.
+  /// Time from the end of a target to its restart under another id.
   Micros mRestart = 5 * kSecond;
-  /// From the start of a harmful request to the end of its target.
+  /// Time from the start of a harmful request to the crash of its target.
   Micros mEndsAfter = 50 * kMillisecond;
 };
 
-/// \brief A request reached a target.
+/// \brief The arrival of a request at a target.
 struct TargetArrival
 {
   Micros mAt = 0;
   std::string mHost;
   std::string mTarget;
   std::string mPath;
-  /// Not the first arrival of its request.
+  /// A retry or hedge: not the first arrival of its request.
   bool mExtra = false;
-  /// Its target names a limit.
+  /// The target announces a limit.
   bool mLimited = false;
   std::size_t mHostIndex = 0;
 };
 
-/// \brief What clients got.
+/// \brief Outcomes of the clients' requests.
 struct GatewayTally
 {
   int mOffered = 0;
   int mServed = 0;
   int mRefused = 0;
   int mFailed = 0;
-  /// Answers that refused a request as quarantined.
+  /// Requests refused as quarantined.
   int mQuarantined = 0;
 };
 
-/// \brief The whole deployment.
+/// \brief The simulated deployment.
 class GatewayWorld
 {
 public:
@@ -71,61 +71,63 @@
   GatewayWorld(const GatewayWorld&) = delete;
   GatewayWorld& operator=(const GatewayWorld&) = delete;
 
-  /// \brief Waits until each host has the policy and all targets.
+  /// \brief Starts all hosts and targets and waits until each host has the
+  /// policy and all targets.
   void Settle();
   void Advance(Micros aTime);
   void Later(Micros aDelay, std::function<void()> aWhat);
 
-  /// \brief An operator sends the change after the newest acknowledged one.
+  /// \brief Puts the policy version after the latest acknowledged one.
   void PutNextPolicy(std::size_t aHost);
   [[nodiscard]] std::uint64_t AcknowledgedPolicy() const noexcept
   {
     return mAcknowledgedPolicy;
   }
-  /// \brief Version that a host acts by; 0 for none.
+  /// \brief Policy version that a host applies; 0 for none.
   [[nodiscard]] std::uint64_t PolicyInForce(std::size_t aHost) const;
 
-  /// \brief Clients ask for paths of their own, at the load's pace.
+  /// \brief Clients request distinct paths at the configured rate.
   void StartClients(Micros aFor);
-  /// \brief A client asks for `aPath` each `aGap`, at any host.
+  /// \brief Requests `aPath` from a random host at every interval `aGap`.
   void AskAgainAndAgain(const std::string& aPath,
                         Micros aGap,
                         Micros aFor,
                         bool aCounted = false);
 
-  /// \brief Each target that begins to run a request for this path ends.
+  /// \brief Every target that runs a request for this path crashes.
   void MakeHarmful(const std::string& aPath) { mHarmful.insert(aPath); }
-  /// \brief An operator lets the request for this path go, at one host.
+  /// \brief Releases the request for this path from quarantine, on one host.
   void ReleaseRequest(std::size_t aHost, const std::string& aPath);
   void MakeHarmless(const std::string& aPath) { mHarmful.erase(aPath); }
-  /// \brief The target's process ends; another one starts later.
+  /// \brief Ends the target's process; another one starts later.
   void EndTarget(const std::string& aAddress);
-  /// \brief The target neither answers nor refuses for a while.
+  /// \brief The target neither answers nor refuses connections for a while.
   void SilenceTarget(const std::string& aAddress, Micros aFor);
-  /// \brief The target's connections break; it lives on.
+  /// \brief Resets the target's connections; its process keeps running.
   void ResetConnections(const std::string& aAddress);
-  /// \brief The target says that it leaves, serves on for a while, and ends.
+  /// \brief The target drains for a while, ends, and restarts with a new
+  /// release.
   void ReplaceTarget(const std::string& aAddress);
-  /// \brief From now on the target names this limit in its answers to requests;
-  /// 0 ends it.
+  /// \brief The target announces this limit in its answers to requests from now
+  /// on; 0 for no limit.
   void SetLimit(const std::string& aAddress, double aPerSecond);
-  /// Answers of the health path name limits as well.
+  /// Answers to health probes announce limits as well.
   bool mProbesNameLimits = false;
 
-  /// Share of their requests that targets answer with an error.
+  /// Share of requests that targets answer with an error.
   double mErrorShare = 0;
 
-  /// Hosts that cannot exchange messages with any other one.
+  /// Hosts that cannot exchange messages with any other host.
   std::set<std::size_t> mCutOff;
-  /// Messages between two hosts for which it returns true are lost.
+  /// Messages for which this returns true are lost.
   std::function<bool(std::size_t, std::size_t, const wire::FleetMessage&)>
     mLose;
-  /// A planted fault: no fact reaches another host.
+  /// Injected fault: all gossip messages are lost.
   bool mLosesFacts = false;
   void KillHost(std::size_t aHost);
   void StartHost(std::size_t aHost);
   void StopHost(std::size_t aHost);
-  /// \brief The host does nothing; what comes meanwhile waits.
+  /// \brief Suspends the host; events that arrive meanwhile are deferred.
   void FreezeHost(std::size_t aHost) { mFrozen.insert(aHost); }
   void ThawHost(std::size_t aHost);
   [[nodiscard]] std::size_t LeaderHost() const;
@@ -138,16 +140,16 @@
   [[nodiscard]] std::vector<std::string> TargetAddresses() const;
   [[nodiscard]] Micros Now() const noexcept { return mNow; }
 
-  /// All requests that reached a target, refused ones included.
+  /// All requests that reached a target, including refused ones.
   std::vector<TargetArrival> mArrivals;
-  /// When a target ended under a harmful request, by its path.
+  /// Times of the crashes that a harmful request caused, by path.
   std::map<std::string, std::vector<Micros>> mEnds;
-  /// Of clients that are counted.
+  /// Tally of counted clients.
   GatewayTally mTally;
-  /// Promises that were broken: a request that may not be repeated ran twice,
-  /// or ran though its client was told that it did not.
+  /// Violated guarantees: a non-idempotent request ran twice, or ran although
+  /// its client was told that it did not.
   std::vector<std::string> mBroken;
-  /// Facts that hosts told each other, acknowledgements included.
+  /// Gossip messages between hosts, including acknowledgements.
   std::uint64_t mGossipMessages = 0;
   std::uint64_t mGossipBytes = 0;
 
@@ -177,7 +179,7 @@
     bool mSilent = false;
     bool mDraining = false;
     std::string mRelease = "v1";
-    /// Requests a second that it names as its limit; 0 for none.
+    /// Announced limit in requests per second; 0 for none.
     double mLimit = 0;
     int mStarts = 0;
     int mRunning = 0;
@@ -219,7 +221,7 @@
   void ReportEnd(std::size_t aHost, dispatch::AttemptEnd aEnd);
   [[nodiscard]] dispatch::Report ReportOf(const FakeTarget& aTarget) const;
   [[nodiscard]] static dispatch::LimitWord LimitOf(const FakeTarget& aTarget);
-  /// \brief A host that is alive; none where all are gone.
+  /// \brief A random host that is alive, if any.
   [[nodiscard]] std::optional<std::size_t> AnyHost();
 
   GatewayLoad mLoad;
@@ -231,14 +233,14 @@
   std::map<std::uint64_t, Job> mJobs;
   /// Waiting clients, by host and request.
   std::map<std::pair<std::size_t, std::uint64_t>, Client> mClients;
-  /// How often requests that may not be repeated ran, and those whose clients
-  /// were told that they did not; by host and request.
+  /// Non-idempotent requests, by host and request: how often each ran, and
+  /// those whose clients were told that they did not run.
   std::map<std::pair<std::size_t, std::uint64_t>, int> mRuns;
   std::set<std::pair<std::size_t, std::uint64_t>> mRefused;
-  /// Status of the answer that a host is told of, by host and attempt.
+  /// Status of an answer reported to a host, by host and attempt.
   std::map<std::pair<std::size_t, std::uint64_t>, int> mStatuses;
   std::multimap<Micros, std::function<void()>> mQueue;
-  /// Changes of the policy that wait for their answer, by operation.
+  /// Policy versions whose put is not yet answered, by operation.
   std::map<std::uint64_t, std::uint64_t> mPolicyCalls;
   std::uint64_t mAcknowledgedPolicy = 0;
   std::set<std::string> mHarmful;
--- a/tests/gateway_restart_test.cpp
+++ b/tests/gateway_restart_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// More changes than a disk holds beside its last snapshot.
+/// More changes than a disk keeps beside its latest snapshot.
 constexpr int kChanges = 230;
 constexpr std::uint64_t kDraws = 8;
 
 } // namespace
 
-/// \brief All hosts are lost at the same moment, and come back.
+/// \brief All hosts fail at the same moment and are restarted.
 class GatewayRestartTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayRestartTest);
@@ -41,7 +41,8 @@
   }
 
 private:
-  // One control host hears of the others later than its followers of it.
+  // One control host reconnects to the other control hosts only after other
+  // hosts have connected to it.
   static void LoseAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
   {
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
@@ -70,14 +71,15 @@
       aWorld.Advance(10 * kMillisecond);
       for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
         const std::uint64_t version = aWorld.PolicyInForce(host);
-        CPPUNIT_ASSERT_MESSAGE("host " + std::to_string(host) + " acts by " +
-                                 std::to_string(version) + " of " +
-                                 std::to_string(acknowledged) + ", seed " +
-                                 std::to_string(aSeed),
+        CPPUNIT_ASSERT_MESSAGE("host " + std::to_string(host) +
+                                 " applies policy " + std::to_string(version) +
+                                 " of " + std::to_string(acknowledged) +
+                                 ", seed " + std::to_string(aSeed),
                                version == 0 || version >= acknowledged);
       }
     }
-    // A change without an answer may be in force, then at all hosts.
+    // A change that was not acknowledged may still be applied, but then on all
+    // hosts.
     const std::uint64_t last = aWorld.PolicyInForce(0);
     CPPUNIT_ASSERT(last >= acknowledged);
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
--- a/tests/gateway_stall_test.cpp
+++ b/tests/gateway_stall_test.cpp
@@ -36,8 +36,8 @@
   }
 
 private:
-  // Frozen as soon as it has sent requests, before it knows how long work
-  // takes.
+  // Freezes a host that has just started and sent its first requests, before it
+  // has any measurement of how long requests take.
   static void AssertServesAgain(std::uint64_t aSeed, Micros aFrozenFor)
   {
     GatewayLoad load;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
-  // Guards against a reader who is sent to a host without power.
+  // Guards against redirecting a reader to a host that is down.
   void ReaderIsSentOnlyToALeaderThatHasAnswered()
   {
     State state = Follower(kSlowLink, true, kLargeDocument);
@@ -122,7 +122,8 @@
     CPPUNIT_ASSERT_EQUAL(kLargeDocument, AnswerIn(ended)->mDocument.size());
   }
 
-  // Guards against callers that leave a host before it answers: after a second.
+  // Guards against callers that give up, after one second, before the host
+  // answers.
   void ReadIsRefusedAtOnceWhereNobodyKnowsALeader()
   {
     State silent = Follower(kSlowLink, true, kLargeDocument);
@@ -148,8 +149,8 @@
     State state = RestartedControlHost(true);
     CPPUNIT_ASSERT(!IsReady(state));
     CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
-    // However long the group is away: what it acknowledged last may not be on
-    // this disk.
+    // However long the group is unreachable: the newest policy that it
+    // acknowledged may not be on this disk.
     for (const Micros away : { 1, 8, 60 }) {
       Pass(state, kStart + away * kSecond);
       CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
@@ -160,8 +161,9 @@
     CPPUNIT_ASSERT(IsReady(state));
   }
 
-  // A host that lost its vote while it was away is a learner at its start: an
-  // upstream is in touch before the log has caught up.
+  // A host that was removed as a voter while it was down starts as a learner,
+  // and its upstream may be in touch with the leader before its log has caught
+  // up.
   void PolicyOnALearnersDiskWaitsForTheLeaderNotForAnUpstream()
   {
     State state = RestartedControlHost(false);
@@ -207,7 +209,7 @@
     return 0;
   }
 
-  // A host with a disk that holds a policy, as a voter or as a learner.
+  // A control host with a policy on its disk, as a voter or a learner.
   static State RestartedControlHost(bool aVotes)
   {
     Settings settings = MakeSettings(kFastLink);
@@ -233,7 +235,7 @@
     (void)Step(aState, event);
   }
 
-  // An empty append of a leader that has committed what the disk holds.
+  // An empty append request from a leader that has committed what the disk has.
   static void HearLeader(State& aState, Micros aNow)
   {
     Event event;
@@ -291,7 +293,7 @@
     return 0;
   }
 
-  // The leader's answer to a read, with the version that is the newest.
+  // The leader's answer to a read, with the current policy version.
   static Event FromLeader(Micros aNow,
                           std::uint64_t aId,
                           std::uint64_t aVersion)
@@ -310,7 +312,7 @@
   }
 
   static constexpr std::size_t kLargeDocument = 350000;
-  /// 2.4 and 100 megabits a second.
+  /// 2.4 and 100 Mbit/s.
   static constexpr double kSlowLink = 300e3;
   static constexpr double kFastLink = 12.5e6;
 
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -17,7 +17,7 @@
   return { Kind::RequestCrash, aKey, "v1", aSeenAt };
 }
 
-/// \brief Hosts in a line, and what is on its way between them.
+/// \brief Hosts connected in a line, and the messages in flight between them.
 struct Line
 {
   explicit Line(std::size_t aHosts)
@@ -54,7 +54,7 @@
     }
   }
 
-  // One step of time, and one trip of what was under way.
+  // Advances time by one step and delivers the messages in flight.
   void Step()
   {
     mNow += 10 * kMillisecond;
@@ -144,7 +144,7 @@
     (void)Publish(line.mStates[0], line.mNow, Crash("a"));
     line.Steps(100);
     const int sent = line.mSent;
-    // One message and its acknowledgement a step.
+    // One message and one acknowledgement per hop.
     CPPUNIT_ASSERT_EQUAL(10, sent);
     line.Steps(1000);
     CPPUNIT_ASSERT_EQUAL(sent, line.mSent);
--- a/tests/harmful_request_test.cpp
+++ b/tests/harmful_request_test.cpp
@@ -13,14 +13,14 @@
 
 constexpr const char* kHarmful = "/harmful";
 constexpr const char* kOften = "/often";
-/// Time in which hosts that can reach each other hear of what happened.
+/// Time in which hosts that can reach each other learn of a crash.
 constexpr Micros kContact = 3 * kSecond;
 constexpr std::size_t kEnds = 3;
 constexpr std::ptrdiff_t kLaterArrivals = 3;
 constexpr Micros kTime = 20 * kSecond;
 constexpr Micros kAgain = 400 * kMillisecond;
 
-// Arrivals later than the time of contact after the third end.
+// Number of arrivals more than kContact after the third crash.
 std::ptrdiff_t LaterArrivals(const GatewayWorld& aWorld)
 {
   const auto ends = aWorld.mEnds.find(kHarmful);
@@ -46,7 +46,7 @@
   CPPUNIT_ASSERT(aWorld.mEnds[kHarmful].size() >= kEnds);
 }
 
-// One request that all clients ask for, beside others.
+// One request that all clients send repeatedly, among others.
 void PlayInnocent(GatewayWorld& aWorld,
                   const std::function<void(GatewayWorld&)>& aTrouble)
 {
@@ -116,7 +116,7 @@
   {
     GatewayWorld world(GatewayLoad(), 5);
     world.Settle();
-    // Of four control hosts two are left, and cannot agree.
+    // Two of four control hosts remain, which is no majority.
     world.KillHost(2);
     world.KillHost(3);
     world.Advance(4 * kSecond);
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_LESSEQUAL(kLaterArrivals, LaterArrivals(world));
   }
 
-  // The others and the data centre that is cut off each learn for themselves.
+  // The isolated data centre and the others detect the request independently.
   void RequestIsRefusedByADataCentreThatIsCutOffAfterItsOwnThree()
   {
     GatewayWorld world(GatewayLoad(), 6);
@@ -275,7 +275,7 @@
       aWorld.AskAgainAndAgain(kHarmful, kAgain, kSecond);
     });
     CPPUNIT_ASSERT(world.mEnds[kHarmful].size() >= kEnds);
-    // Each refusal is of the harmful one, whose clients are not counted.
+    // Only the harmful request is refused, and its clients are not counted.
     CPPUNIT_ASSERT_EQUAL(0, world.mTally.mQuarantined);
   }
 
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -110,7 +110,7 @@
                    Verdict::Quarantined);
     CPPUNIT_ASSERT(Evaluate(state, kRequest, kStart, { "v2" }) ==
                    Verdict::OnTrial);
-    // One crash of the new release is enough.
+    // A single crash of the new release suffices.
     RecordCrash(state, kRequest, { "t9", "v2", kStart });
     CPPUNIT_ASSERT(Evaluate(state, kRequest, kStart, { "v2" }) ==
                    Verdict::Quarantined);
@@ -138,7 +138,7 @@
       CPPUNIT_ASSERT(JudgeAt(state, now) == Verdict::Quarantined);
       (void)RenewEvidence(state, kRequest, now);
     }
-    // What an operator has let go is not renewed.
+    // Evidence that an operator released is not renewed.
     RecordRelease(state, kRequest, kStart + 3600 * kSecond);
     const Micros later = kStart + 3700 * kSecond;
     CPPUNIT_ASSERT(RenewEvidence(state, kRequest, later).empty());
--- a/tests/rate_share_test.cpp
+++ b/tests/rate_share_test.cpp
@@ -29,7 +29,7 @@
   return shares;
 }
 
-// Requests that a host sends which always has work, a step a millisecond.
+// Number of requests sent by a host that always has work, in steps of 1 ms.
 int SentIn(Share& aShare, Micros aFrom, Micros aTime)
 {
   int sent = 0;
@@ -143,7 +143,7 @@
         moved += before != (share.mRate > 0) ? 1 : 0;
       }
     }
-    // One of twenty names had its holder among those that went.
+    // For one name in twenty, the holder is among the removed hosts.
     CPPUNIT_ASSERT_LESSEQUAL(15, moved);
   }
 
--- a/tests/shared_bounds_test.cpp
+++ b/tests/shared_bounds_test.cpp
@@ -16,7 +16,8 @@
 constexpr double kExtraRatio = 0.2;
 constexpr double kExtraFloor = 60;
 
-// Most extra arrivals of any window, less what the requests of it allow.
+// Maximum over all windows of the extra arrivals beyond the ratio of the
+// requests in the window.
 double MostBeyondRequests(const std::vector<TargetArrival>& aArrivals)
 {
   double most = 0;
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -12,9 +12,9 @@
 using fakes::GatewayWorld;
 using fakes::TargetArrival;
 
-/// Time in which hosts that can reach each other hear of a limit.
+/// Time in which hosts that can reach each other learn of a limit.
 constexpr Micros kContact = 3 * kSecond;
-/// A target may get so much in this time.
+/// Window over which the arrivals at a target are counted.
 constexpr Micros kWindow = 4 * kSecond;
 constexpr double kSlack = 1.5;
 constexpr double kMore = 5;
@@ -29,7 +29,7 @@
   return aArrival.mTarget.compare(0, aAddress.size() + 1, aAddress + "#") == 0;
 }
 
-// Most arrivals at a target in any window between two times.
+// Maximum number of arrivals at a target in any window between two times.
 double MostArrivals(const GatewayWorld& aWorld,
                     const std::string& aAddress,
                     Micros aFrom,
@@ -193,7 +193,7 @@
     Start(world);
     world.SetLimit(Target(world), 2.0);
     world.Advance(5 * kSecond);
-    // Of 15 hosts two hold a part; none of the others lets anybody wait.
+    // Two of the 15 hosts have a share; none of the others queues requests.
     for (std::size_t host = 0; host < world.Hosts(); ++host) {
       const dispatch::State& state = world.At(host).mDispatch;
       const bool holds = !state.mServices.at("service").mHeld.empty();
@@ -202,7 +202,7 @@
   }
 
 private:
-  // More work than the targets without a limit can do.
+  // More load than the targets without a limit can handle.
   static GatewayLoad Overload()
   {
     GatewayLoad load;
@@ -244,7 +244,7 @@
     return holders;
   }
 
-  // Stopped and started anew, frozen, cut off, or killed, by turns.
+  // Restarts, freezes, isolates or kills the host, depending on its index.
   static void Disturb(GatewayWorld& aWorld, std::size_t aHost)
   {
     switch (aHost % 4) {
