--- a/tests/catalog_test.cpp
+++ b/tests/catalog_test.cpp
@@ -8,17 +8,17 @@
 class CatalogTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CatalogTest);
-  CPPUNIT_TEST(TargetStartedAgainUnderItsIdKnowsNothingOfBefore);
-  CPPUNIT_TEST(LateWordOfAnEarlierIncarnationChangesNothing);
-  CPPUNIT_TEST(RemovalOfAnEarlierIncarnationLeavesTheLaterOne);
-  CPPUNIT_TEST(RemovedIncarnationStaysRemovedAndALaterOneComes);
-  CPPUNIT_TEST(TargetThatDoesNotTellItsBirthIsKnownByItsId);
-  CPPUNIT_TEST(IncarnationChangesNeitherServiceNorAddress);
-  CPPUNIT_TEST(SnapshotKeepsIncarnationsApart);
+  CPPUNIT_TEST(RestartedTargetInheritsNothing);
+  CPPUNIT_TEST(LateAnnouncementOfEarlierIncarnationIsIgnored);
+  CPPUNIT_TEST(RemovalOfEarlierIncarnationKeepsLaterOne);
+  CPPUNIT_TEST(RemovedIncarnationStaysRemovedButLaterOneIsAccepted);
+  CPPUNIT_TEST(TargetWithoutBirthTimeIsIdentifiedById);
+  CPPUNIT_TEST(IncarnationCannotChangeServiceOrAddress);
+  CPPUNIT_TEST(SnapshotPreservesIncarnations);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void TargetStartedAgainUnderItsIdKnowsNothingOfBefore()
+  void RestartedTargetInheritsNothing()
   {
     Announce(kEarly, 90, true);
     Announce(kLate, 1, false);
@@ -28,7 +28,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), record.sequence());
   }
 
-  void LateWordOfAnEarlierIncarnationChangesNothing()
+  void LateAnnouncementOfEarlierIncarnationIsIgnored()
   {
     Announce(kLate, 1, false);
     Announce(kEarly, 91, true);
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT_EQUAL(kLate, mState.mTargets.at("t").born_ms());
   }
 
-  void RemovalOfAnEarlierIncarnationLeavesTheLaterOne()
+  void RemovalOfEarlierIncarnationKeepsLaterOne()
   {
     Announce(kLate, 1, false);
     Remove(kEarly);
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(mState.mTargets.at("t").draining());
   }
 
-  void RemovedIncarnationStaysRemovedAndALaterOneComes()
+  void RemovedIncarnationStaysRemovedButLaterOneIsAccepted()
   {
     Announce(kEarly, 1, false);
     Remove(kEarly);
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(kLate, mState.mTargets.at("t").born_ms());
   }
 
-  void TargetThatDoesNotTellItsBirthIsKnownByItsId()
+  void TargetWithoutBirthTimeIsIdentifiedById()
   {
     Announce(0, 1, false);
     Remove(0);
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(mState.mTargets.empty());
   }
 
-  void IncarnationChangesNeitherServiceNorAddress()
+  void IncarnationCannotChangeServiceOrAddress()
   {
     Announce(kEarly, 1, false);
     wire::CatalogCommand command = Announcement(kEarly, 2, false);
@@ -77,7 +77,7 @@
                          mState.mTargets.at("t").address());
   }
 
-  void SnapshotKeepsIncarnationsApart()
+  void SnapshotPreservesIncarnations()
   {
     Announce(kEarly, 1, false);
     Remove(kEarly);
