--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -102,20 +102,20 @@
 class GossipTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GossipTest);
-  CPPUNIT_TEST(FactReachesAllHostsInATripAStep);
-  CPPUNIT_TEST(FactReachesAllHostsThoughHalfOfTheMessagesAreLost);
-  CPPUNIT_TEST(NothingIsSentOnceAllHaveIt);
-  CPPUNIT_TEST(HostThatStartsAnewIsToldAgain);
-  CPPUNIT_TEST(HostThatStartsAnewIsToldWhatItHadTold);
-  CPPUNIT_TEST(LatestObservationCounts);
-  CPPUNIT_TEST(OldFactIsForgottenByAllAtAboutTheSameTime);
-  CPPUNIT_TEST(OldestGoesFirstWhereThereAreTooMany);
-  CPPUNIT_TEST(ManyFactsGoInSeveralMessages);
-  CPPUNIT_TEST(KindOfALaterVersionIsLeftOut);
+  CPPUNIT_TEST(FactReachesAllHostsInOneDelayPerHop);
+  CPPUNIT_TEST(FactReachesAllHostsDespiteMessageLoss);
+  CPPUNIT_TEST(NothingIsSentOnceAllHostsHaveTheFact);
+  CPPUNIT_TEST(RestartedHostIsSentFactsAgain);
+  CPPUNIT_TEST(RestartedHostIsSentBackItsOwnFacts);
+  CPPUNIT_TEST(LatestObservationWins);
+  CPPUNIT_TEST(FactExpiresOnAllHostsAtAboutTheSameTime);
+  CPPUNIT_TEST(OldestFactIsDroppedFirst);
+  CPPUNIT_TEST(ManyFactsAreSplitIntoSeveralMessages);
+  CPPUNIT_TEST(UnknownKindIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void FactReachesAllHostsInATripAStep()
+  void FactReachesAllHostsInOneDelayPerHop()
   {
     Line line(6);
     CPPUNIT_ASSERT(Publish(line.mStates[0], line.mNow, Crash("a")));
@@ -125,7 +125,7 @@
     }
   }
 
-  void FactReachesAllHostsThoughHalfOfTheMessagesAreLost()
+  void FactReachesAllHostsDespiteMessageLoss()
   {
     Line line(6);
     int count = 0;
@@ -138,7 +138,7 @@
     }
   }
 
-  void NothingIsSentOnceAllHaveIt()
+  void NothingIsSentOnceAllHostsHaveTheFact()
   {
     Line line(6);
     (void)Publish(line.mStates[0], line.mNow, Crash("a"));
@@ -150,7 +150,7 @@
     CPPUNIT_ASSERT_EQUAL(sent, line.mSent);
   }
 
-  void HostThatStartsAnewIsToldAgain()
+  void RestartedHostIsSentFactsAgain()
   {
     Line line(3);
     (void)Publish(line.mStates[0], line.mNow, Crash("a"));
@@ -162,7 +162,7 @@
     CPPUNIT_ASSERT(line.Has(2, "a"));
   }
 
-  void HostThatStartsAnewIsToldWhatItHadTold()
+  void RestartedHostIsSentBackItsOwnFacts()
   {
     Line line(2);
     (void)Publish(line.mStates[1], line.mNow, Crash("a"));
@@ -174,7 +174,7 @@
     CPPUNIT_ASSERT(line.Has(1, "a"));
   }
 
-  void LatestObservationCounts()
+  void LatestObservationWins()
   {
     State state;
     CPPUNIT_ASSERT(Publish(state, kStart, Crash("a", kStart - 20 * kSecond)));
@@ -187,7 +187,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("v0"), entry.mItem.mValue);
   }
 
-  void OldFactIsForgottenByAllAtAboutTheSameTime()
+  void FactExpiresOnAllHostsAtAboutTheSameTime()
   {
     const Micros lifetime = KindLimitsOf(Kind::RequestCrash).mLifetime;
     Line line(3);
@@ -199,7 +199,7 @@
     CPPUNIT_ASSERT(!line.Has(0, "a") && !line.Has(2, "a"));
   }
 
-  void OldestGoesFirstWhereThereAreTooMany()
+  void OldestFactIsDroppedFirst()
   {
     const std::size_t most = KindLimitsOf(Kind::RequestCrash).mMaxItems;
     State state;
@@ -212,7 +212,7 @@
     CPPUNIT_ASSERT(state.mEntries.count({ Kind::RequestCrash, "0" }) == 0);
   }
 
-  void ManyFactsGoInSeveralMessages()
+  void ManyFactsAreSplitIntoSeveralMessages()
   {
     Line line(2);
     for (int i = 0; i < 500; ++i) {
@@ -222,7 +222,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(500), line.mStates[1].mEntries.size());
   }
 
-  void KindOfALaterVersionIsLeftOut()
+  void UnknownKindIsIgnored()
   {
     State state;
     wire::Gossip message;
