--- a/tests/rate_share_test.cpp
+++ b/tests/rate_share_test.cpp
@@ -18,8 +18,8 @@
   return hosts;
 }
 
-std::vector<Share> DivideAmong(const std::vector<std::string>& aHosts,
-                               double aPerSecond)
+std::vector<Share> MakeShares(const std::vector<std::string>& aHosts,
+                              double aPerSecond)
 {
   std::vector<Share> shares(aHosts.size());
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
@@ -47,23 +47,23 @@
 class RateShareTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RateShareTest);
-  CPPUNIT_TEST(PartsOfAllHostsAddUpToTheRate);
-  CPPUNIT_TEST(SumOfWhatHostsSendIsTheRateWhateverTheirNumber);
-  CPPUNIT_TEST(LittleIsSavedUpInAQuietTime);
-  CPPUNIT_TEST(HostThatIsNotAmongTheMembersHoldsNothing);
-  CPPUNIT_TEST(HolderThatLosesItsPartEndsAtOnceAndTheNextOneWaits);
-  CPPUNIT_TEST(HoldersStayWhereOthersComeAndGo);
-  CPPUNIT_TEST(RateOfNothingIsStillTriedNowAndThen);
-  CPPUNIT_TEST(PartThatIsNotUsedIsSeen);
+  CPPUNIT_TEST(SharesAddUpToTheRate);
+  CPPUNIT_TEST(HostsTogetherSendAtTheRate);
+  CPPUNIT_TEST(BurstAfterAnIdlePeriodIsSmall);
+  CPPUNIT_TEST(NonMemberHasNoShare);
+  CPPUNIT_TEST(FormerHolderStopsAtOnceAndNewHolderWaits);
+  CPPUNIT_TEST(HoldersAreStableWhenOtherHostsChange);
+  CPPUNIT_TEST(ZeroRateIsStillProbed);
+  CPPUNIT_TEST(UnusedShareIsIdle);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PartsOfAllHostsAddUpToTheRate()
+  void SharesAddUpToTheRate()
   {
     for (const int count : { 1, 2, 19, 476 }) {
       for (const double rate : { 0.5, 1.0, 3.4, 50.0, 5000.0 }) {
         double sum = 0;
-        for (const Share& share : DivideAmong(Hosts(count), rate)) {
+        for (const Share& share : MakeShares(Hosts(count), rate)) {
           sum += share.mRate;
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(rate, sum, 1e-6 * rate);
@@ -71,12 +71,12 @@
     }
   }
 
-  void SumOfWhatHostsSendIsTheRateWhateverTheirNumber()
+  void HostsTogetherSendAtTheRate()
   {
     for (const int count : { 1, 19, 476 }) {
       for (const double rate : { 0.5, 3.4, 50.0 }) {
         double sent = 0;
-        for (Share& share : DivideAmong(Hosts(count), rate)) {
+        for (Share& share : MakeShares(Hosts(count), rate)) {
           sent += SentIn(share, kStart, 20 * kSecond);
         }
         CPPUNIT_ASSERT_LESSEQUAL(20 * rate + 1, sent);
@@ -85,18 +85,18 @@
     }
   }
 
-  void LittleIsSavedUpInAQuietTime()
+  void BurstAfterAnIdlePeriodIsSmall()
   {
     for (const double rate : { 0.5, 3.4, 50.0 }) {
       double sent = 0;
-      for (Share& share : DivideAmong(Hosts(476), rate)) {
+      for (Share& share : MakeShares(Hosts(476), rate)) {
         sent += SentIn(share, kStart + 600 * kSecond, 4 * kSecond);
       }
       CPPUNIT_ASSERT_LESSEQUAL(1.5 * 4 * rate + 5, sent);
     }
   }
 
-  void HostThatIsNotAmongTheMembersHoldsNothing()
+  void NonMemberHasNoShare()
   {
     Share share;
     UpdateShare(share, MakeMembers(Hosts(3), "other"), "t", 100, kStart);
@@ -105,10 +105,10 @@
     CPPUNIT_ASSERT(!CanSend(share, kStart + kSecond));
   }
 
-  void HolderThatLosesItsPartEndsAtOnceAndTheNextOneWaits()
+  void FormerHolderStopsAtOnceAndNewHolderWaits()
   {
     const std::vector<std::string> all = Hosts(19);
-    std::vector<Share> shares = DivideAmong(all, 1.0);
+    std::vector<Share> shares = MakeShares(all, 1.0);
     std::size_t holder = 0;
     while (shares[holder].mRate == 0) {
       ++holder;
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT(first >= later + 2 * kSecond);
   }
 
-  void HoldersStayWhereOthersComeAndGo()
+  void HoldersAreStableWhenOtherHostsChange()
   {
     const std::vector<std::string> all = Hosts(100);
     const std::vector<std::string> fewer(all.begin(), all.begin() + 95);
@@ -147,9 +147,9 @@
     CPPUNIT_ASSERT_LESSEQUAL(15, moved);
   }
 
-  void RateOfNothingIsStillTriedNowAndThen()
+  void ZeroRateIsStillProbed()
   {
-    std::vector<Share> shares = DivideAmong(Hosts(19), 0);
+    std::vector<Share> shares = MakeShares(Hosts(19), 0);
     int sent = 0;
     for (Share& share : shares) {
       sent += SentIn(share, kStart, 60 * kSecond);
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(sent > 0 && sent <= 7);
   }
 
-  void PartThatIsNotUsedIsSeen()
+  void UnusedShareIsIdle()
   {
     Share share;
     UpdateShare(share, MakeMembers(Hosts(1), Hosts(1)[0]), "t", 1.0, kStart);
--- a/tests/text_delta_test.cpp
+++ b/tests/text_delta_test.cpp
@@ -9,13 +9,13 @@
 class TextDeltaTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(TextDeltaTest);
-  CPPUNIT_TEST(DeltaOfAnyTwoTextsGivesTheSecond);
-  CPPUNIT_TEST(DeltaOnAnotherBaseIsRefused);
+  CPPUNIT_TEST(DeltaYieldsTheSecondText);
+  CPPUNIT_TEST(DeltaForAnotherBaseIsRejected);
   CPPUNIT_TEST(DeltaOfASmallEditIsSmall);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void DeltaOfAnyTwoTextsGivesTheSecond()
+  void DeltaYieldsTheSecondText()
   {
     std::mt19937 random(5);
     for (int round = 0; round < 2000; ++round) {
@@ -27,7 +27,7 @@
     }
   }
 
-  void DeltaOnAnotherBaseIsRefused()
+  void DeltaForAnotherBaseIsRejected()
   {
     const wire::TextDelta delta = text_delta::MakeDelta("a = 1", "a = 2");
     CPPUNIT_ASSERT(!text_delta::Apply("b = 1", delta));
