--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -61,20 +61,20 @@
 class GatewayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayTest);
-  CPPUNIT_TEST(LargePolicyIsReadFromTheLeaderWhereTheOwnLinkIsSlow);
-  CPPUNIT_TEST(SmallPolicyIsReadHere);
-  CPPUNIT_TEST(LargePolicyIsReadHereWhileTheLeaderIsNotKnown);
-  CPPUNIT_TEST(ReaderIsSentOnlyToALeaderThatHasAnswered);
-  CPPUNIT_TEST(ReaderIsAnsweredHereWhereTheLeaderIsOfAnEarlierVersion);
-  CPPUNIT_TEST(ReadIsRefusedAtOnceWhereNobodyKnowsALeader);
-  CPPUNIT_TEST(PolicyFromDiskWaitsForTheGroup);
-  CPPUNIT_TEST(PolicyOnALearnersDiskWaitsForTheLeaderNotForAnUpstream);
-  CPPUNIT_TEST(PolicyOfAnUpstreamOutOfTouchWaitsForTheGroup);
-  CPPUNIT_TEST(UnknownRouteIsRefusedForGoodOnlyWhileThePolicyIsKnownToBeNew);
+  CPPUNIT_TEST(ReadOfLargePolicyIsRedirectedOnASlowLink);
+  CPPUNIT_TEST(SmallPolicyIsReadLocally);
+  CPPUNIT_TEST(LargePolicyIsReadLocallyWithoutAKnownLeader);
+  CPPUNIT_TEST(ReaderIsRedirectedOnlyToALeaderThatHasAnswered);
+  CPPUNIT_TEST(ReaderIsAnsweredLocallyIfTheLeaderRunsAnEarlierVersion);
+  CPPUNIT_TEST(ReadFailsBeforeItsCallerGivesUp);
+  CPPUNIT_TEST(PolicyFromDiskIsWithheldUntilTheGroupConfirmsIt);
+  CPPUNIT_TEST(PolicyOnALearnersDiskIsWithheldUntilTheLeaderConfirmsIt);
+  CPPUNIT_TEST(PolicyFromAnIsolatedUpstreamIsWithheld);
+  CPPUNIT_TEST(UnknownRouteGets404OnlyWhileThePolicyIsCurrent);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void LargePolicyIsReadFromTheLeaderWhereTheOwnLinkIsSlow()
+  void ReadOfLargePolicyIsRedirectedOnASlowLink()
   {
     const State slow = Follower(kSlowLink, true, kLargeDocument);
     CPPUNIT_ASSERT_EQUAL(std::string(kLeader), PolicyRedirect(slow, kStart));
@@ -82,20 +82,20 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(fast, kStart));
   }
 
-  void SmallPolicyIsReadHere()
+  void SmallPolicyIsReadLocally()
   {
     const State state = Follower(kSlowLink, true, 4000);
     CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
-  void LargePolicyIsReadHereWhileTheLeaderIsNotKnown()
+  void LargePolicyIsReadLocallyWithoutAKnownLeader()
   {
     const State state = Follower(kSlowLink, false, kLargeDocument);
     CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
   // Guards against redirecting a reader to a host that is down.
-  void ReaderIsSentOnlyToALeaderThatHasAnswered()
+  void ReaderIsRedirectedOnlyToALeaderThatHasAnswered()
   {
     State state = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(state, kStart + kSecond);
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(kLeader), answer->mElsewhere);
   }
 
-  void ReaderIsAnsweredHereWhereTheLeaderIsOfAnEarlierVersion()
+  void ReaderIsAnsweredLocallyIfTheLeaderRunsAnEarlierVersion()
   {
     State state = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(state, kStart + kSecond);
@@ -124,7 +124,7 @@
 
   // Guards against callers that give up, after one second, before the host
   // answers.
-  void ReadIsRefusedAtOnceWhereNobodyKnowsALeader()
+  void ReadFailsBeforeItsCallerGivesUp()
   {
     State silent = Follower(kSlowLink, true, kLargeDocument);
     (void)Read(silent, kStart + kSecond);
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationOutcome::Unavailable);
   }
 
-  void PolicyFromDiskWaitsForTheGroup()
+  void PolicyFromDiskIsWithheldUntilTheGroupConfirmsIt()
   {
     State state = RestartedControlHost(true);
     CPPUNIT_ASSERT(!IsReady(state));
@@ -164,7 +164,7 @@
   // A host that was removed as a voter while it was down starts as a learner,
   // and its upstream may be in touch with the leader before its log has caught
   // up.
-  void PolicyOnALearnersDiskWaitsForTheLeaderNotForAnUpstream()
+  void PolicyOnALearnersDiskIsWithheldUntilTheLeaderConfirmsIt()
   {
     State state = RestartedControlHost(false);
     (void)Step(state, FromUpstream(kStart + kSecond, true, 100));
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT(state.mDispatch.mPolicy);
   }
 
-  void PolicyOfAnUpstreamOutOfTouchWaitsForTheGroup()
+  void PolicyFromAnIsolatedUpstreamIsWithheld()
   {
     State state = Follower(kFastLink, false, 100);
     CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT(state.mDispatch.mPolicy);
   }
 
-  void UnknownRouteIsRefusedForGoodOnlyWhileThePolicyIsKnownToBeNew()
+  void UnknownRouteGets404OnlyWhileThePolicyIsCurrent()
   {
     State state = Follower(kFastLink, true, 100);
     CPPUNIT_ASSERT_EQUAL(404, StatusOfUnknownRoute(state, kStart + 1000));
