--- a/bench/harmful_bench.cpp
+++ b/bench/harmful_bench.cpp
@@ -14,7 +14,7 @@
 using geraniumpond::fakes::GatewayWorld;
 
 constexpr const char* kHarmful = "/harmful";
-constexpr std::size_t kEnds = 3;
+constexpr std::size_t kCrashesToQuarantine = 3;
 
 std::size_t HostsThatRefuse(const GatewayWorld& aWorld)
 {
@@ -43,9 +43,9 @@
   while (aWorld.Now() < until) {
     aWorld.Advance(kMillisecond);
     const auto& ends = aWorld.mEnds[kHarmful];
-    if (ends.size() >= kEnds &&
+    if (ends.size() >= kCrashesToQuarantine &&
         100 * HostsThatRefuse(aWorld) >= 99 * aWorld.Hosts()) {
-      return aWorld.Now() - ends[kEnds - 1];
+      return aWorld.Now() - ends[kCrashesToQuarantine - 1];
     }
   }
   return -1;
--- a/tests/fakes/gateway_schedule.cpp
+++ b/tests/fakes/gateway_schedule.cpp
@@ -17,7 +17,7 @@
 /// is checked.
 constexpr Micros kRecover = 12 * kSecond;
 constexpr Micros kCalm = 5 * kSecond;
-constexpr std::size_t kEnds = 3;
+constexpr std::size_t kCrashesToQuarantine = 3;
 constexpr std::size_t kLaterArrivals = 3;
 constexpr Micros kLimitWindow = 4 * kSecond;
 constexpr Micros kExtraWindow = 10 * kSecond;
@@ -256,11 +256,11 @@
   std::string HarmfulFault() const
   {
     for (const auto& [path, ends] : mWorld.mEnds) {
-      if (ends.size() < kEnds) {
+      if (ends.size() < kCrashesToQuarantine) {
         continue;
       }
       // A fleet that failed as a whole has to detect the request again.
-      const Micros from = ends[kEnds - 1] + kContact;
+      const Micros from = ends[kCrashesToQuarantine - 1] + kContact;
       const std::string& asked = path;
       const auto later = static_cast<std::size_t>(
         std::count_if(mWorld.mArrivals.begin(),
--- a/tests/harmful_request_test.cpp
+++ b/tests/harmful_request_test.cpp
@@ -12,22 +12,23 @@
 using fakes::GatewayWorld;
 
 constexpr const char* kHarmful = "/harmful";
-constexpr const char* kOften = "/often";
+constexpr const char* kFrequent = "/often";
 /// Time in which hosts that can reach each other learn of a crash.
 constexpr Micros kContact = 3 * kSecond;
-constexpr std::size_t kEnds = 3;
+constexpr std::size_t kCrashesToQuarantine = 3;
 constexpr std::ptrdiff_t kLaterArrivals = 3;
 constexpr Micros kTime = 20 * kSecond;
-constexpr Micros kAgain = 400 * kMillisecond;
+constexpr Micros kHarmfulInterval = 400 * kMillisecond;
 
 // Number of arrivals more than kContact after the third crash.
 std::ptrdiff_t LaterArrivals(const GatewayWorld& aWorld)
 {
   const auto ends = aWorld.mEnds.find(kHarmful);
-  if (ends == aWorld.mEnds.end() || ends->second.size() < kEnds) {
+  if (ends == aWorld.mEnds.end() ||
+      ends->second.size() < kCrashesToQuarantine) {
     return 0;
   }
-  const Micros from = ends->second[kEnds - 1] + kContact;
+  const Micros from = ends->second[kCrashesToQuarantine - 1] + kContact;
   return std::count_if(aWorld.mArrivals.begin(),
                        aWorld.mArrivals.end(),
                        [&](const fakes::TargetArrival& aArrival) {
@@ -36,25 +37,25 @@
                        });
 }
 
-void PlayHarmful(GatewayWorld& aWorld)
+void RunHarmfulRequest(GatewayWorld& aWorld)
 {
   aWorld.Settle();
   aWorld.StartClients(kTime);
   aWorld.MakeHarmful(kHarmful);
-  aWorld.AskAgainAndAgain(kHarmful, kAgain, kTime);
+  aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kTime);
   aWorld.Advance(kTime + 2 * kSecond);
-  CPPUNIT_ASSERT(aWorld.mEnds[kHarmful].size() >= kEnds);
+  CPPUNIT_ASSERT(aWorld.mEnds[kHarmful].size() >= kCrashesToQuarantine);
 }
 
 // One request that all clients send repeatedly, among others.
-void PlayInnocent(GatewayWorld& aWorld,
-                  const std::function<void(GatewayWorld&)>& aTrouble)
+void RunHarmlessRequests(GatewayWorld& aWorld,
+                         const std::function<void(GatewayWorld&)>& aFault)
 {
   aWorld.Settle();
   aWorld.StartClients(kTime);
-  aWorld.AskAgainAndAgain(kOften, 10 * kMillisecond, kTime, true);
+  aWorld.AskAgainAndAgain(kFrequent, 10 * kMillisecond, kTime, true);
   for (const Micros at : { 5, 10, 15 }) {
-    aWorld.Later(at * kSecond, [&aWorld, aTrouble] { aTrouble(aWorld); });
+    aWorld.Later(at * kSecond, [&aWorld, aFault] { aFault(aWorld); });
   }
   aWorld.Advance(kTime + 4 * kSecond);
 }
@@ -73,46 +74,46 @@
 class HarmfulRequestTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HarmfulRequestTest);
-  CPPUNIT_TEST(RequestUnderWhichThreeTargetsEndedIsNotPassedOnByAnyHost);
-  CPPUNIT_TEST(UnsafeRequestUnderWhichThreeTargetsEndedIsNotPassedOnByAnyHost);
-  CPPUNIT_TEST(RequestIsRefusedThoughTheGroupHasNoLeader);
-  CPPUNIT_TEST(RequestIsRefusedByADataCentreThatIsCutOffAfterItsOwnThree);
-  CPPUNIT_TEST(RequestIsRefusedByAHostThatHasJustStarted);
+  CPPUNIT_TEST(RequestIsRefusedByAllHostsAfterThreeCrashes);
+  CPPUNIT_TEST(UnsafeRequestIsRefusedByAllHostsAfterThreeCrashes);
+  CPPUNIT_TEST(RequestIsRefusedWithoutALeader);
+  CPPUNIT_TEST(RequestIsRefusedInAnIsolatedDataCentreAfterThreeCrashesThere);
+  CPPUNIT_TEST(RequestIsRefusedByARestartedHost);
   CPPUNIT_TEST(RequestIsRefusedAfterAllControlHostsWereKilled);
-  CPPUNIT_TEST(RequestThatAnOperatorReleasesIsServedByAllHosts);
-  CPPUNIT_TEST(RequestThatIsReleasedAndStillHarmfulIsRefusedAgain);
-  CPPUNIT_TEST(NextReleaseIsTriedByOneHostOnce);
-  CPPUNIT_TEST(RequestThatTheNextReleaseBearsIsServedAgain);
-  CPPUNIT_TEST(NoInnocentIsRefusedThoughHalfOfTheTargetsEndAtOnce);
-  CPPUNIT_TEST(NoInnocentIsRefusedThoughHalfOfTheTargetsLosePower);
-  CPPUNIT_TEST(NoInnocentIsRefusedThoughConnectionsAreReset);
-  CPPUNIT_TEST(NoInnocentIsRefusedThoughAReleaseReplacesTargets);
-  CPPUNIT_TEST(NoInnocentIsRefusedThoughTargetsFailHalfOfTheRequests);
-  CPPUNIT_TEST(NoInnocentIsRefusedBesideAHarmfulRequest);
+  CPPUNIT_TEST(ReleasedRequestIsServedByAllHosts);
+  CPPUNIT_TEST(ReleasedRequestThatIsStillHarmfulIsRefusedAgain);
+  CPPUNIT_TEST(NewReleaseIsTriedByOneHostOnce);
+  CPPUNIT_TEST(RequestThatTheNewReleaseSurvivesIsServedAgain);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedWhenHalfOfTheTargetsCrash);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedWhenHalfOfTheTargetsLosePower);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedWhenConnectionsAreReset);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedWhenAReleaseReplacesTargets);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedWhenTargetsFailHalfOfTheRequests);
+  CPPUNIT_TEST(NoHarmlessRequestIsRefusedBesideAHarmfulOne);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void RequestUnderWhichThreeTargetsEndedIsNotPassedOnByAnyHost()
+  void RequestIsRefusedByAllHostsAfterThreeCrashes()
   {
     for (const std::uint64_t seed : { 1, 2, 3 }) {
       GatewayWorld world(GatewayLoad(), seed);
-      PlayHarmful(world);
+      RunHarmfulRequest(world);
       CPPUNIT_ASSERT_LESSEQUAL(kLaterArrivals, LaterArrivals(world));
       CPPUNIT_ASSERT_GREATER(world.mTally.mOffered * 9 / 10,
                              world.mTally.mServed);
     }
   }
 
-  void UnsafeRequestUnderWhichThreeTargetsEndedIsNotPassedOnByAnyHost()
+  void UnsafeRequestIsRefusedByAllHostsAfterThreeCrashes()
   {
     GatewayLoad load;
     load.mIdempotent = false;
     GatewayWorld world(load, 4);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     CPPUNIT_ASSERT_LESSEQUAL(kLaterArrivals, LaterArrivals(world));
   }
 
-  void RequestIsRefusedThoughTheGroupHasNoLeader()
+  void RequestIsRefusedWithoutALeader()
   {
     GatewayWorld world(GatewayLoad(), 5);
     world.Settle();
@@ -121,30 +122,30 @@
     world.KillHost(3);
     world.Advance(4 * kSecond);
     CPPUNIT_ASSERT_EQUAL(world.Hosts(), world.LeaderHost());
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     CPPUNIT_ASSERT_LESSEQUAL(kLaterArrivals, LaterArrivals(world));
   }
 
   // The isolated data centre and the others detect the request independently.
-  void RequestIsRefusedByADataCentreThatIsCutOffAfterItsOwnThree()
+  void RequestIsRefusedInAnIsolatedDataCentreAfterThreeCrashesThere()
   {
     GatewayWorld world(GatewayLoad(), 6);
     world.Settle();
     for (std::size_t host = 0; host < world.Hosts(); host += 4) {
       world.mCutOff.insert(host);
     }
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     world.mCutOff.clear();
     world.Advance(6 * kSecond);
     world.mArrivals.clear();
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HarmfulArrivals(world));
   }
 
-  void RequestIsRefusedByAHostThatHasJustStarted()
+  void RequestIsRefusedByARestartedHost()
   {
     GatewayWorld world(GatewayLoad(), 7);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     world.KillHost(9);
     world.Advance(4 * kSecond);
     world.StartHost(9);
@@ -155,14 +156,14 @@
       }
     }
     world.mArrivals.clear();
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HarmfulArrivals(world));
   }
 
   void RequestIsRefusedAfterAllControlHostsWereKilled()
   {
     GatewayWorld world(GatewayLoad(), 8);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     for (std::size_t host = 0; host < 4; ++host) {
       world.KillHost(host);
     }
@@ -172,14 +173,14 @@
     }
     world.Advance(kContact);
     world.mArrivals.clear();
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HarmfulArrivals(world));
   }
 
-  void RequestThatAnOperatorReleasesIsServedByAllHosts()
+  void ReleasedRequestIsServedByAllHosts()
   {
     GatewayWorld world(GatewayLoad(), 14);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     world.MakeHarmless(kHarmful);
     world.ReleaseRequest(5, kHarmful);
     world.Advance(kSecond);
@@ -189,31 +190,31 @@
     CPPUNIT_ASSERT_EQUAL(50, world.mTally.mServed);
   }
 
-  void RequestThatIsReleasedAndStillHarmfulIsRefusedAgain()
+  void ReleasedRequestThatIsStillHarmfulIsRefusedAgain()
   {
     GatewayWorld world(GatewayLoad(), 15);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     world.ReleaseRequest(5, kHarmful);
     world.Advance(kSecond);
     world.mEnds.clear();
-    AskHarmful(world);
-    CPPUNIT_ASSERT_EQUAL(kEnds, world.mEnds[kHarmful].size());
+    SendHarmfulRequests(world);
+    CPPUNIT_ASSERT_EQUAL(kCrashesToQuarantine, world.mEnds[kHarmful].size());
   }
 
-  void NextReleaseIsTriedByOneHostOnce()
+  void NewReleaseIsTriedByOneHostOnce()
   {
     GatewayWorld world(GatewayLoad(), 16);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     ReplaceAllTargets(world);
     world.mEnds.clear();
-    AskHarmful(world);
+    SendHarmfulRequests(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), world.mEnds[kHarmful].size());
   }
 
-  void RequestThatTheNextReleaseBearsIsServedAgain()
+  void RequestThatTheNewReleaseSurvivesIsServedAgain()
   {
     GatewayWorld world(GatewayLoad(), 17);
-    PlayHarmful(world);
+    RunHarmfulRequest(world);
     ReplaceAllTargets(world);
     world.MakeHarmless(kHarmful);
     world.AskAgainAndAgain(kHarmful, 100 * kMillisecond, 10 * kSecond);
@@ -224,35 +225,35 @@
     CPPUNIT_ASSERT_EQUAL(50, world.mTally.mServed);
   }
 
-  void NoInnocentIsRefusedThoughHalfOfTheTargetsEndAtOnce()
+  void NoHarmlessRequestIsRefusedWhenHalfOfTheTargetsCrash()
   {
-    AssertNoInnocentIsRefused([](GatewayWorld& aWorld) {
+    AssertNoHarmlessRequestIsRefused([](GatewayWorld& aWorld) {
       ForHalfOfTheTargets(
         aWorld, [&](const std::string& aOne) { aWorld.EndTarget(aOne); });
     });
   }
 
-  void NoInnocentIsRefusedThoughHalfOfTheTargetsLosePower()
+  void NoHarmlessRequestIsRefusedWhenHalfOfTheTargetsLosePower()
   {
-    AssertNoInnocentIsRefused([](GatewayWorld& aWorld) {
+    AssertNoHarmlessRequestIsRefused([](GatewayWorld& aWorld) {
       ForHalfOfTheTargets(aWorld, [&](const std::string& aOne) {
         aWorld.SilenceTarget(aOne, 3 * kSecond);
       });
     });
   }
 
-  void NoInnocentIsRefusedThoughConnectionsAreReset()
+  void NoHarmlessRequestIsRefusedWhenConnectionsAreReset()
   {
-    AssertNoInnocentIsRefused([](GatewayWorld& aWorld) {
+    AssertNoHarmlessRequestIsRefused([](GatewayWorld& aWorld) {
       ForHalfOfTheTargets(aWorld, [&](const std::string& aOne) {
         aWorld.ResetConnections(aOne);
       });
     });
   }
 
-  void NoInnocentIsRefusedThoughAReleaseReplacesTargets()
+  void NoHarmlessRequestIsRefusedWhenAReleaseReplacesTargets()
   {
-    AssertNoInnocentIsRefused([](GatewayWorld& aWorld) {
+    AssertNoHarmlessRequestIsRefused([](GatewayWorld& aWorld) {
       Micros at = 0;
       ForHalfOfTheTargets(aWorld, [&](const std::string& aOne) {
         at += 300 * kMillisecond;
@@ -261,20 +262,20 @@
     });
   }
 
-  void NoInnocentIsRefusedThoughTargetsFailHalfOfTheRequests()
+  void NoHarmlessRequestIsRefusedWhenTargetsFailHalfOfTheRequests()
   {
-    AssertNoInnocentIsRefused(
+    AssertNoHarmlessRequestIsRefused(
       [](GatewayWorld& aWorld) { aWorld.mErrorShare = 0.5; });
   }
 
-  void NoInnocentIsRefusedBesideAHarmfulRequest()
+  void NoHarmlessRequestIsRefusedBesideAHarmfulOne()
   {
     GatewayWorld world(GatewayLoad(), 9);
     world.MakeHarmful(kHarmful);
-    PlayInnocent(world, [](GatewayWorld& aWorld) {
-      aWorld.AskAgainAndAgain(kHarmful, kAgain, kSecond);
+    RunHarmlessRequests(world, [](GatewayWorld& aWorld) {
+      aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kSecond);
     });
-    CPPUNIT_ASSERT(world.mEnds[kHarmful].size() >= kEnds);
+    CPPUNIT_ASSERT(world.mEnds[kHarmful].size() >= kCrashesToQuarantine);
     // Only the harmful request is refused, and its clients are not counted.
     CPPUNIT_ASSERT_EQUAL(0, world.mTally.mQuarantined);
   }
@@ -289,10 +290,10 @@
     aWorld.Advance(10 * kSecond);
   }
 
-  static void AskHarmful(GatewayWorld& aWorld)
+  static void SendHarmfulRequests(GatewayWorld& aWorld)
   {
     aWorld.MakeHarmful(kHarmful);
-    aWorld.AskAgainAndAgain(kHarmful, kAgain, kTime);
+    aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kTime);
     aWorld.Advance(kTime + 2 * kSecond);
   }
 
@@ -306,12 +307,12 @@
                     }));
   }
 
-  static void AssertNoInnocentIsRefused(
-    const std::function<void(GatewayWorld&)>& aTrouble)
+  static void AssertNoHarmlessRequestIsRefused(
+    const std::function<void(GatewayWorld&)>& aFault)
   {
     for (const std::uint64_t seed : { 11, 12, 13 }) {
       GatewayWorld world(GatewayLoad(), seed);
-      PlayInnocent(world, aTrouble);
+      RunHarmlessRequests(world, aFault);
       CPPUNIT_ASSERT_EQUAL(0, world.mTally.mQuarantined);
     }
   }
