--- a/tests/shared_bounds_test.cpp
+++ b/tests/shared_bounds_test.cpp
@@ -18,7 +18,7 @@
 
 // Maximum over all windows of the extra arrivals beyond the ratio of the
 // requests in the window.
-double MostBeyondRequests(const std::vector<TargetArrival>& aArrivals)
+double MaxExtraBeyondRatio(const std::vector<TargetArrival>& aArrivals)
 {
   double most = 0;
   double extra = 0;
@@ -50,22 +50,22 @@
 class SharedBoundsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SharedBoundsTest);
-  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundWhereTargetsFailMostRequests);
-  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundAfterAllHostsStartAnew);
+  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundWhenTargetsFailMostRequests);
+  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundAfterAllHostsRestart);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ExtraArrivalsStayWithinTheBoundWhereTargetsFailMostRequests()
+  void ExtraArrivalsStayWithinTheBoundWhenTargetsFailMostRequests()
   {
     GatewayWorld world(ManyHosts(), 21);
     world.Settle();
     world.mErrorShare = 0.8;
     world.StartClients(20 * kSecond);
     world.Advance(22 * kSecond);
-    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MostBeyondRequests(world.mArrivals));
+    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MaxExtraBeyondRatio(world.mArrivals));
   }
 
-  void ExtraArrivalsStayWithinTheBoundAfterAllHostsStartAnew()
+  void ExtraArrivalsStayWithinTheBoundAfterAllHostsRestart()
   {
     GatewayWorld world(ManyHosts(), 22);
     world.Settle();
@@ -79,7 +79,7 @@
     }
     world.StartClients(10 * kSecond);
     world.Advance(12 * kSecond);
-    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MostBeyondRequests(world.mArrivals));
+    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MaxExtraBeyondRatio(world.mArrivals));
   }
 };
 
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -58,21 +58,21 @@
 class TargetLimitTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(TargetLimitTest);
-  CPPUNIT_TEST(TargetThatNamesALimitGetsNoMoreFromAllHostsTogether);
-  CPPUNIT_TEST(LimitHoldsOverAHundredHostsWhoseSharesAreSmall);
-  CPPUNIT_TEST(LimitIsUsedWhileWorkWaits);
-  CPPUNIT_TEST(LimitHoldsWhileHostsThatHoldItStopFreezeAndComeBack);
-  CPPUNIT_TEST(LimitHoldsWhileAllHostsStartAnew);
-  CPPUNIT_TEST(LimitIsKnownToAllHostsAtOnce);
-  CPPUNIT_TEST(LimitEndsAtAllHostsSoonAfterItIsNamedNoMore);
-  CPPUNIT_TEST(LimitThatTheHealthPathNamesTooIsTheSame);
+  CPPUNIT_TEST(LimitHoldsForAllHostsCombined);
+  CPPUNIT_TEST(LimitHoldsForAHundredHostsWithSmallShares);
+  CPPUNIT_TEST(LimitIsUsedWhileRequestsWait);
+  CPPUNIT_TEST(LimitHoldsWhileHoldersStopFreezeAndRestart);
+  CPPUNIT_TEST(LimitHoldsWhileAllHostsRestart);
+  CPPUNIT_TEST(LimitSpreadsToAllHostsQuickly);
+  CPPUNIT_TEST(LimitEndsOnAllHostsSoonAfterTheTargetDropsIt);
+  CPPUNIT_TEST(LimitInProbeAnswersIsTheSameLimit);
   CPPUNIT_TEST(NextIncarnationStartsWithoutALimit);
-  CPPUNIT_TEST(HostThatStartsHearsOfLimitsItHasNotSeen);
-  CPPUNIT_TEST(RequestIsRefusedAtOnceWhereNoTargetMayTakeIt);
+  CPPUNIT_TEST(RestartedHostLearnsExistingLimits);
+  CPPUNIT_TEST(RequestIsRefusedAtOnceIfNoTargetIsAvailable);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void TargetThatNamesALimitGetsNoMoreFromAllHostsTogether()
+  void LimitHoldsForAllHostsCombined()
   {
     for (const double limit : { 0.5, 3.4, 10.0 }) {
       GatewayWorld world(GatewayLoad(), 31);
@@ -80,7 +80,7 @@
     }
   }
 
-  void LimitHoldsOverAHundredHostsWhoseSharesAreSmall()
+  void LimitHoldsForAHundredHostsWithSmallShares()
   {
     GatewayLoad load;
     load.mOtherHosts = 96;
@@ -89,7 +89,7 @@
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
   }
 
-  void LimitIsUsedWhileWorkWaits()
+  void LimitIsUsedWhileRequestsWait()
   {
     GatewayWorld world(Overload(), 33);
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT_GREATER(0.8 * 3.4 * seconds, mArrived);
   }
 
-  void LimitHoldsWhileHostsThatHoldItStopFreezeAndComeBack()
+  void LimitHoldsWhileHoldersStopFreezeAndRestart()
   {
     for (const std::uint64_t seed : { 34, 35, 36 }) {
       GatewayWorld world(Overload(), seed);
@@ -111,7 +111,7 @@
     }
   }
 
-  void LimitHoldsWhileAllHostsStartAnew()
+  void LimitHoldsWhileAllHostsRestart()
   {
     GatewayWorld world(Overload(), 37);
     AssertHolds(world, 3.4, [](GatewayWorld& aWorld) {
@@ -124,7 +124,7 @@
     });
   }
 
-  void LimitIsKnownToAllHostsAtOnce()
+  void LimitSpreadsToAllHostsQuickly()
   {
     GatewayWorld world(GatewayLoad(), 38);
     Start(world);
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(world.Hosts(), HostsThatKnow(world));
   }
 
-  void LimitEndsAtAllHostsSoonAfterItIsNamedNoMore()
+  void LimitEndsOnAllHostsSoonAfterTheTargetDropsIt()
   {
     GatewayWorld world(GatewayLoad(), 39);
     Start(world);
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HostsThatKnow(world));
   }
 
-  void LimitThatTheHealthPathNamesTooIsTheSame()
+  void LimitInProbeAnswersIsTheSameLimit()
   {
     GatewayWorld world(GatewayLoad(), 40);
     world.mProbesNameLimits = true;
@@ -170,7 +170,7 @@
     }
   }
 
-  void HostThatStartsHearsOfLimitsItHasNotSeen()
+  void RestartedHostLearnsExistingLimits()
   {
     GatewayWorld world(GatewayLoad(), 42);
     Start(world);
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT_EQUAL(world.Hosts(), HostsThatKnow(world));
   }
 
-  void RequestIsRefusedAtOnceWhereNoTargetMayTakeIt()
+  void RequestIsRefusedAtOnceIfNoTargetIsAvailable()
   {
     GatewayLoad load;
     load.mTargets = 1;
@@ -272,14 +272,14 @@
 
   void AssertHolds(GatewayWorld& aWorld,
                    double aLimit,
-                   const std::function<void(GatewayWorld&)>& aTrouble)
+                   const std::function<void(GatewayWorld&)>& aFault)
   {
     Start(aWorld);
     const std::string target = Target(aWorld);
     aWorld.SetLimit(target, aLimit);
     const Micros from = aWorld.Now() + kContact;
     aWorld.Advance(kContact);
-    aTrouble(aWorld);
+    aFault(aWorld);
     aWorld.Advance(15 * kSecond);
     CPPUNIT_ASSERT_LESSEQUAL(Allowed(aLimit),
                              MostArrivals(aWorld, target, from, aWorld.Now()));
