--- a/tests/gateway_restart_test.cpp
+++ b/tests/gateway_restart_test.cpp
@@ -13,7 +13,7 @@
 
 /// More changes than a disk keeps beside its latest snapshot.
 constexpr int kChanges = 230;
-constexpr std::uint64_t kDraws = 8;
+constexpr std::uint64_t kSeeds = 8;
 
 } // namespace
 
@@ -21,13 +21,13 @@
 class GatewayRestartTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayRestartTest);
-  CPPUNIT_TEST(HostsActByNoOlderPolicyAfterAllWereLost);
+  CPPUNIT_TEST(HostsApplyNoOlderPolicyAfterAllFailed);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostsActByNoOlderPolicyAfterAllWereLost()
+  void HostsApplyNoOlderPolicyAfterAllFailed()
   {
-    for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       GatewayWorld world(GatewayLoad(), seed);
       std::mt19937_64 random(seed);
       world.Settle();
@@ -35,15 +35,15 @@
         world.PutNextPolicy(random() % world.Hosts());
         world.Advance(12 * kMillisecond);
       }
-      LoseAll(world, random);
-      ExpectNothingOlder(world, seed);
+      RestartAll(world, random);
+      ExpectNoOlderPolicy(world, seed);
     }
   }
 
 private:
   // One control host reconnects to the other control hosts only after other
   // hosts have connected to it.
-  static void LoseAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
+  static void RestartAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
   {
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
       aWorld.KillHost(host);
@@ -63,7 +63,7 @@
     };
   }
 
-  static void ExpectNothingOlder(GatewayWorld& aWorld, std::uint64_t aSeed)
+  static void ExpectNoOlderPolicy(GatewayWorld& aWorld, std::uint64_t aSeed)
   {
     const std::uint64_t acknowledged = aWorld.AcknowledgedPolicy();
     CPPUNIT_ASSERT(acknowledged > kChanges / 2);
--- a/tests/gateway_stall_test.cpp
+++ b/tests/gateway_stall_test.cpp
@@ -16,29 +16,29 @@
 class GatewayStallTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayStallTest);
-  CPPUNIT_TEST(HostThatStoodStillWithItsFirstAnswersServesAgain);
-  CPPUNIT_TEST(HostWhoseFirstAnswersTookNearlyAllTheirTimeServesAgain);
+  CPPUNIT_TEST(HostThatFrozeDuringItsFirstRequestsRecovers);
+  CPPUNIT_TEST(HostWhoseFirstRequestsNearlyTimedOutRecovers);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostThatStoodStillWithItsFirstAnswersServesAgain()
+  void HostThatFrozeDuringItsFirstRequestsRecovers()
   {
     for (const std::uint64_t seed : { 51, 52, 53 }) {
-      AssertServesAgain(seed, 7 * kSecond);
+      AssertRecovers(seed, 7 * kSecond);
     }
   }
 
-  void HostWhoseFirstAnswersTookNearlyAllTheirTimeServesAgain()
+  void HostWhoseFirstRequestsNearlyTimedOutRecovers()
   {
     for (const std::uint64_t seed : { 54, 55, 56 }) {
-      AssertServesAgain(seed, 700 * kMillisecond);
+      AssertRecovers(seed, 700 * kMillisecond);
     }
   }
 
 private:
   // Freezes a host that has just started and sent its first requests, before it
   // has any measurement of how long requests take.
-  static void AssertServesAgain(std::uint64_t aSeed, Micros aFrozenFor)
+  static void AssertRecovers(std::uint64_t aSeed, Micros aFrozenFor)
   {
     GatewayLoad load;
     load.mIdempotent = false;
