--- a/bench/gateway_search.cpp
+++ b/bench/gateway_search.cpp
@@ -18,29 +18,29 @@
 
 using namespace geraniumpond;
 
-fakes::GatewaySchedule MakeSchedule(std::uint64_t aSeed, bool aLosesFacts)
+fakes::GatewaySchedule MakeSchedule(std::uint64_t aSeed, bool aDropsGossip)
 {
   fakes::GatewaySchedule schedule = fakes::MakeGatewaySchedule(aSeed);
-  schedule.mLosesFacts = aLosesFacts;
+  schedule.mDropsGossip = aDropsGossip;
   return schedule;
 }
 
-int Show(std::uint64_t aSeed, bool aLosesFacts)
+int Show(std::uint64_t aSeed, bool aDropsGossip)
 {
-  const fakes::GatewaySchedule whole = MakeSchedule(aSeed, aLosesFacts);
-  const fakes::GatewayOutcome outcome = fakes::PlayGatewaySchedule(whole);
-  if (outcome.mBroken.empty()) {
+  const fakes::GatewaySchedule whole = MakeSchedule(aSeed, aDropsGossip);
+  const fakes::GatewayOutcome outcome = fakes::RunGatewaySchedule(whole);
+  if (outcome.mViolation.empty()) {
     std::cout << "nothing broken\n" << fakes::Describe(whole) << std::flush;
     return 0;
   }
   const fakes::GatewaySchedule smallest = fakes::ShrinkGatewaySchedule(whole);
-  std::cout << "broken: " << fakes::PlayGatewaySchedule(smallest).mBroken
+  std::cout << "broken: " << fakes::RunGatewaySchedule(smallest).mViolation
             << "\n"
             << fakes::Describe(smallest) << std::flush;
   return 1;
 }
 
-int Search(std::uint64_t aFirst, std::uint64_t aSeeds, bool aLosesFacts)
+int Search(std::uint64_t aFirst, std::uint64_t aSeeds, bool aDropsGossip)
 {
   int broken = 0;
   long innocents = 0;
@@ -48,13 +48,13 @@
   std::size_t ends = 0;
   for (std::uint64_t seed = aFirst; seed < aFirst + aSeeds; ++seed) {
     const fakes::GatewayOutcome outcome =
-      fakes::PlayGatewaySchedule(MakeSchedule(seed, aLosesFacts));
-    innocents += outcome.mInnocents;
+      fakes::RunGatewaySchedule(MakeSchedule(seed, aDropsGossip));
+    innocents += outcome.mHarmlessRefused;
     offered += outcome.mOffered;
-    ends = std::max(ends, outcome.mMostEnds);
-    if (!outcome.mBroken.empty()) {
+    ends = std::max(ends, outcome.mMaxCrashes);
+    if (!outcome.mViolation.empty()) {
       ++broken;
-      std::cout << "seed " << seed << ": " << outcome.mBroken << std::endl;
+      std::cout << "seed " << seed << ": " << outcome.mViolation << std::endl;
     }
   }
   std::cout << aSeeds << " seeds, " << broken << " broken; " << innocents
--- a/bench/harmful_bench.cpp
+++ b/bench/harmful_bench.cpp
@@ -42,7 +42,7 @@
   const Micros until = aWorld.Now() + aMost;
   while (aWorld.Now() < until) {
     aWorld.Advance(kMillisecond);
-    const auto& ends = aWorld.mEnds[kHarmful];
+    const auto& ends = aWorld.mCrashTimes[kHarmful];
     if (ends.size() >= kCrashesToQuarantine &&
         100 * HostsThatRefuse(aWorld) >= 99 * aWorld.Hosts()) {
       return aWorld.Now() - ends[kCrashesToQuarantine - 1];
@@ -51,7 +51,7 @@
   return -1;
 }
 
-void Play(int aControlHosts, int aHosts, int aTargets, Micros aGap)
+void Run(int aControlHosts, int aHosts, int aTargets, Micros aGap)
 {
   GatewayLoad load;
   load.mControlHosts = aControlHosts;
@@ -63,14 +63,14 @@
   const Micros end = world.Now() + 22 * kSecond;
   world.StartClients(20 * kSecond);
   world.MakeHarmful(kHarmful);
-  world.AskAgainAndAgain(kHarmful, aGap, 20 * kSecond);
+  world.SendRepeatedly(kHarmful, aGap, 20 * kSecond);
   const Micros refused = TimeUntilRefused(world, 5 * kSecond);
   world.Advance(end - world.Now());
   std::printf("%6d %8d %8lld %6zu %10.1f %10.4f %12.0f\n",
               aHosts,
               aTargets,
               static_cast<long long>(aGap / kMillisecond),
-              world.mEnds[kHarmful].size(),
+              world.mCrashTimes[kHarmful].size(),
               static_cast<double>(refused) / kMillisecond,
               world.mTally.mServed / static_cast<double>(world.mTally.mOffered),
               static_cast<double>(world.mGossipBytes) / aHosts);
@@ -90,9 +90,9 @@
               "served",
               "bytes a host");
   for (const Micros gap : { 400, 100, 20 }) {
-    Play(4, 19, 20, gap * kMillisecond);
-    Play(6, 100, 100, gap * kMillisecond);
-    Play(6, 476, 200, gap * kMillisecond);
+    Run(4, 19, 20, gap * kMillisecond);
+    Run(6, 100, 100, gap * kMillisecond);
+    Run(6, 476, 200, gap * kMillisecond);
   }
   return 0;
 }
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -45,7 +45,7 @@
   return static_cast<double>(most) / allowed;
 }
 
-void Play(int aHosts, int aTargets, int aLimited, double aLimit, double aLoad)
+void Run(int aHosts, int aTargets, int aLimited, double aLimit, double aLoad)
 {
   GatewayLoad load;
   load.mControlHosts = aHosts > 50 ? 6 : 4;
@@ -105,10 +105,10 @@
               "bytes a host");
   for (const double load : { 1.3, 0.5 }) {
     for (const double limit : { 0.5, 3.4, 15.0, 50.0 }) {
-      Play(19, 20, 1, limit, load);
-      Play(19, 20, 10, limit, load);
-      Play(476, 60, 1, limit, load);
-      Play(476, 60, 30, limit, load);
+      Run(19, 20, 1, limit, load);
+      Run(19, 20, 10, limit, load);
+      Run(476, 60, 1, limit, load);
+      Run(476, 60, 30, limit, load);
     }
   }
   return 0;
--- a/tests/fakes/gateway_schedule.cpp
+++ b/tests/fakes/gateway_schedule.cpp
@@ -15,15 +15,15 @@
 constexpr Micros kFaultTime = 24 * kSecond;
 /// Time from the last fault until service must be normal, and for how long that
 /// is checked.
-constexpr Micros kRecover = 12 * kSecond;
-constexpr Micros kCalm = 5 * kSecond;
+constexpr Micros kRecoveryTime = 12 * kSecond;
+constexpr Micros kObservationTime = 5 * kSecond;
 constexpr std::size_t kCrashesToQuarantine = 3;
 constexpr std::size_t kLaterArrivals = 3;
 constexpr Micros kLimitWindow = 4 * kSecond;
 constexpr Micros kExtraWindow = 10 * kSecond;
 constexpr double kExtraRatio = 0.2;
 constexpr double kExtraFloor = 60;
-constexpr double kServedInCalm = 0.98;
+constexpr double kMinServedShare = 0.98;
 
 constexpr std::array<const char*, 14> kFaultNames = {
   "harmful",        "limit",        "target_ends",     "targets_end",
@@ -67,40 +67,42 @@
 }
 
 /// \brief Runs the steps of a schedule in a simulation.
-class Player
+class Runner
 {
 public:
-  explicit Player(const GatewaySchedule& aSchedule)
+  explicit Runner(const GatewaySchedule& aSchedule)
     : mSchedule(aSchedule)
     , mWorld(aSchedule.mLoad, aSchedule.mSeed)
   {
-    mWorld.mLosesFacts = aSchedule.mLosesFacts;
+    mWorld.mDropsGossip = aSchedule.mDropsGossip;
   }
 
-  GatewayOutcome Play()
+  GatewayOutcome Run()
   {
     mWorld.Settle();
     mStart = mWorld.Now();
-    mWorld.StartClients(kFaultTime + kRecover + kCalm);
+    mWorld.StartClients(kFaultTime + kRecoveryTime + kObservationTime);
     for (const GatewayStep& step : mSchedule.mSteps) {
-      mWorld.Later(step.mAt, [this, step] { Do(step); });
+      mWorld.Later(step.mAt, [this, step] { Inject(step); });
     }
-    mWorld.Advance(kFaultTime + kRecover);
+    mWorld.Advance(kFaultTime + kRecoveryTime);
     const GatewayTally before = mWorld.mTally;
-    mWorld.Advance(kCalm + 2 * kSecond);
+    mWorld.Advance(kObservationTime + 2 * kSecond);
     GatewayOutcome outcome;
-    outcome.mInnocents = mWorld.mTally.mQuarantined;
+    outcome.mHarmlessRefused = mWorld.mTally.mQuarantined;
     outcome.mOffered = mWorld.mTally.mOffered;
-    for (const auto& [path, ends] : mWorld.mEnds) {
-      outcome.mMostEnds = std::max(outcome.mMostEnds, ends.size());
+    for (const auto& [path, ends] : mWorld.mCrashTimes) {
+      outcome.mMaxCrashes = std::max(outcome.mMaxCrashes, ends.size());
     }
     for (const std::string& broken :
-         { mWorld.mBroken.empty() ? std::string() : mWorld.mBroken.front(),
-           HarmfulFault(),
-           LimitFault(),
-           ExtraFault(),
-           CalmFault(before) }) {
-      outcome.mBroken = outcome.mBroken.empty() ? broken : outcome.mBroken;
+         { mWorld.mViolation.empty() ? std::string()
+                                     : mWorld.mViolation.front(),
+           HarmfulViolation(),
+           LimitViolation(),
+           ExtraViolation(),
+           RecoveryViolation(before) }) {
+      outcome.mViolation =
+        outcome.mViolation.empty() ? broken : outcome.mViolation;
     }
     return outcome;
   }
@@ -108,7 +110,7 @@
 private:
   std::size_t HostOf(const GatewayStep& aStep) const
   {
-    return aStep.mWhich % mWorld.Hosts();
+    return aStep.mSubject % mWorld.Hosts();
   }
 
   std::string TargetOf(std::size_t aWhich) const
@@ -122,7 +124,7 @@
     return aHost < static_cast<std::size_t>(mSchedule.mLoad.mControlHosts);
   }
 
-  void NoteDisturbed(std::size_t aHost, Micros aUntil)
+  void RecordDisturbance(std::size_t aHost, Micros aUntil)
   {
     mRecord.mDisturbed[aHost].emplace_back(mWorld.Now(), aUntil);
     if (aHost != kGroup && IsControl(aHost)) {
@@ -130,7 +132,7 @@
     }
   }
 
-  void Do(const GatewayStep& aStep)
+  void Inject(const GatewayStep& aStep)
   {
     const Micros until = mWorld.Now() + aStep.mFor;
     switch (aStep.mFault) {
@@ -142,30 +144,30 @@
       case GatewayFault::TargetReset:
       case GatewayFault::TargetReplaced:
       case GatewayFault::TargetsFail:
-        DoToTargets(aStep, until);
+        InjectIntoTargets(aStep, until);
         break;
       case GatewayFault::HostKilled:
       case GatewayFault::HostStopped:
       case GatewayFault::HostFrozen:
       case GatewayFault::HostCut:
-        NoteDisturbed(HostOf(aStep), until);
-        DoToHost(aStep, HostOf(aStep));
+        RecordDisturbance(HostOf(aStep), until);
+        InjectIntoHost(aStep, HostOf(aStep));
         break;
       case GatewayFault::ControlKilled:
       case GatewayFault::AllKilled:
-        DoToHosts(aStep, until);
+        InjectIntoHosts(aStep, until);
         break;
     }
   }
 
-  void DoToTargets(const GatewayStep& aStep, Micros aUntil)
+  void InjectIntoTargets(const GatewayStep& aStep, Micros aUntil)
   {
-    const std::string target = TargetOf(aStep.mWhich);
+    const std::string target = TargetOf(aStep.mSubject);
     const auto gap = static_cast<Micros>(kSecond / std::max(0.1, aStep.mRate));
     switch (aStep.mFault) {
       case GatewayFault::Harmful:
-        mWorld.MakeHarmful(HarmfulPath(aStep.mWhich));
-        mWorld.AskAgainAndAgain(HarmfulPath(aStep.mWhich), gap, aStep.mFor);
+        mWorld.MakeHarmful(HarmfulPath(aStep.mSubject));
+        mWorld.SendRepeatedly(HarmfulPath(aStep.mSubject), gap, aStep.mFor);
         break;
       case GatewayFault::Limit:
         StartLimit(aStep, target, aUntil);
@@ -175,7 +177,7 @@
         break;
       case GatewayFault::TargetsEnd:
         for (std::size_t i = 0; i < mWorld.TargetAddresses().size(); i += 3) {
-          mWorld.EndTarget(TargetOf(aStep.mWhich + i));
+          mWorld.EndTarget(TargetOf(aStep.mSubject + i));
         }
         break;
       case GatewayFault::TargetSilent:
@@ -208,7 +210,7 @@
     mWorld.Later(aStep.mFor, [this, aTarget] { mWorld.SetLimit(aTarget, 0); });
   }
 
-  void DoToHost(const GatewayStep& aStep, std::size_t aHost)
+  void InjectIntoHost(const GatewayStep& aStep, std::size_t aHost)
   {
     switch (aStep.mFault) {
       case GatewayFault::HostStopped:
@@ -232,10 +234,10 @@
     });
   }
 
-  void DoToHosts(const GatewayStep& aStep, Micros aUntil)
+  void InjectIntoHosts(const GatewayStep& aStep, Micros aUntil)
   {
     const bool all = aStep.mFault == GatewayFault::AllKilled;
-    NoteDisturbed(kGroup, aUntil);
+    RecordDisturbance(kGroup, aUntil);
     for (std::size_t host = 0; host < mWorld.Hosts(); ++host) {
       if (all || IsControl(host)) {
         mWorld.KillHost(host);
@@ -248,14 +250,14 @@
   }
 
   // Arrivals from recently disturbed hosts do not count.
-  bool Counts(const TargetArrival& aArrival) const
+  bool IsCounted(const TargetArrival& aArrival) const
   {
     return !IsDisturbed(mRecord, aArrival.mHostIndex, aArrival.mAt);
   }
 
-  std::string HarmfulFault() const
+  std::string HarmfulViolation() const
   {
-    for (const auto& [path, ends] : mWorld.mEnds) {
+    for (const auto& [path, ends] : mWorld.mCrashTimes) {
       if (ends.size() < kCrashesToQuarantine) {
         continue;
       }
@@ -267,7 +269,7 @@
                       mWorld.mArrivals.end(),
                       [&](const TargetArrival& aArrival) {
                         return aArrival.mPath == asked && aArrival.mAt > from &&
-                               Counts(aArrival);
+                               IsCounted(aArrival);
                       }));
       if (later > kLaterArrivals) {
         return "harmful request " + path + " arrived " + std::to_string(later) +
@@ -277,7 +279,7 @@
     return "";
   }
 
-  std::string LimitFault() const
+  std::string LimitViolation() const
   {
     for (const auto& [address, spans] : mRecord.mLimits) {
       const double rate = mRecord.mRates.at(address);
@@ -312,7 +314,7 @@
         arrival.mTarget.compare(0, aAddress.size() + 1, aAddress + "#") == 0;
       // A limit applies to one incarnation only.
       if (here && arrival.mLimited && arrival.mAt >= aFrom &&
-          arrival.mAt <= aUntil && Counts(arrival)) {
+          arrival.mAt <= aUntil && IsCounted(arrival)) {
         times.push_back(arrival.mAt);
       }
     }
@@ -329,7 +331,7 @@
 
   // The requests are counted in the same window, the one before it or the one
   // half a window earlier, whichever has most.
-  std::string ExtraFault() const
+  std::string ExtraViolation() const
   {
     std::vector<Micros> extra;
     std::vector<Micros> requests;
@@ -354,13 +356,13 @@
                               : "";
   }
 
-  std::string CalmFault(const GatewayTally& aBefore) const
+  std::string RecoveryViolation(const GatewayTally& aBefore) const
   {
     const int ended = mWorld.mTally.mServed + mWorld.mTally.mRefused +
                       mWorld.mTally.mFailed - aBefore.mServed -
                       aBefore.mRefused - aBefore.mFailed;
     const int served = mWorld.mTally.mServed - aBefore.mServed;
-    return served < kServedInCalm * ended
+    return served < kMinServedShare * ended
              ? "served after recovery from all faults: " +
                  std::to_string(served) + " of " + std::to_string(ended)
              : "";
@@ -411,7 +413,7 @@
         : (kind % 2 == 0 ? GatewayFault::Harmful : GatewayFault::Limit);
     step.mAt = static_cast<Micros>(random() % 16000) * kMillisecond;
     step.mFor = (500 + static_cast<Micros>(random() % 7500)) * kMillisecond;
-    step.mWhich = random();
+    step.mSubject = random();
     step.mRate = 0.5 + static_cast<double>(random() % 100) / 10;
     schedule.mSteps.push_back(step);
   }
@@ -423,9 +425,9 @@
   return schedule;
 }
 
-GatewayOutcome PlayGatewaySchedule(const GatewaySchedule& aSchedule)
+GatewayOutcome RunGatewaySchedule(const GatewaySchedule& aSchedule)
 {
-  return Player(aSchedule).Play();
+  return Runner(aSchedule).Run();
 }
 
 GatewaySchedule ShrinkGatewaySchedule(GatewaySchedule aSchedule)
@@ -433,7 +435,7 @@
   for (std::size_t i = 0; i < aSchedule.mSteps.size();) {
     GatewaySchedule fewer = aSchedule;
     fewer.mSteps.erase(fewer.mSteps.begin() + static_cast<std::ptrdiff_t>(i));
-    if (PlayGatewaySchedule(fewer).mBroken.empty()) {
+    if (RunGatewaySchedule(fewer).mViolation.empty()) {
       ++i;
     } else {
       aSchedule = std::move(fewer);
@@ -462,7 +464,7 @@
                   static_cast<double>(step.mAt) / kSecond,
                   ToString(step.mFault),
                   static_cast<double>(step.mFor) / kSecond,
-                  static_cast<unsigned long long>(step.mWhich),
+                  static_cast<unsigned long long>(step.mSubject),
                   step.mRate);
     text += line;
   }
--- a/tests/fakes/gateway_schedule.h
+++ b/tests/fakes/gateway_schedule.h
@@ -38,7 +38,7 @@
   GatewayFault mFault = GatewayFault::Harmful;
   Micros mFor = 0;
   /// Index of the host or target, modulo their number.
-  std::size_t mWhich = 0;
+  std::size_t mSubject = 0;
   /// Limit or rate of harmful requests, in requests per second.
   double mRate = 0;
 };
@@ -49,7 +49,7 @@
   GatewayLoad mLoad;
   std::vector<GatewayStep> mSteps;
   /// Injected fault: all gossip messages are lost.
-  bool mLosesFacts = false;
+  bool mDropsGossip = false;
 };
 
 [[nodiscard]] GatewaySchedule MakeGatewaySchedule(std::uint64_t aSeed);
@@ -58,15 +58,15 @@
 struct GatewayOutcome
 {
   /// The first violated guarantee; empty for none.
-  std::string mBroken;
+  std::string mViolation;
   /// Harmless requests that were refused as quarantined.
-  int mInnocents = 0;
+  int mHarmlessRefused = 0;
   int mOffered = 0;
   /// Maximum number of targets crashed by one harmful request.
-  std::size_t mMostEnds = 0;
+  std::size_t mMaxCrashes = 0;
 };
 
-[[nodiscard]] GatewayOutcome PlayGatewaySchedule(
+[[nodiscard]] GatewayOutcome RunGatewaySchedule(
   const GatewaySchedule& aSchedule);
 
 /// \brief Removes steps that are not needed to violate a guarantee.
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 /// One-way delay between any two hosts or targets.
-constexpr Micros kTrip = 1500;
+constexpr Micros kOneWayDelay = 1500;
 constexpr Micros kSyncTime = kMillisecond;
 constexpr Micros kStep = kMillisecond;
 constexpr Micros kDrainTime = 2 * kSecond;
 /// Timeouts of a probe and of a connection attempt.
-constexpr Micros kProbePatience = 400 * kMillisecond;
-constexpr Micros kConnectPatience = 300 * kMillisecond;
-constexpr Micros kRenewal = 1500 * kMillisecond;
-constexpr Micros kReturnPause = 100 * kMillisecond;
+constexpr Micros kProbeTimeout = 400 * kMillisecond;
+constexpr Micros kConnectTimeout = 300 * kMillisecond;
+constexpr Micros kRenewInterval = 1500 * kMillisecond;
+constexpr Micros kRetryDelay = 100 * kMillisecond;
 constexpr double kWorkSpread = 0.3;
 constexpr const char* kService = "service";
 
@@ -125,7 +125,7 @@
   Host& host = mHosts[aHost];
   host.mSettings.mFleet.mIncarnation = ++mLast;
   host.mAlive = true;
-  ++host.mLife;
+  ++host.mStartCount;
   gateway::Effects effects;
   host.mState =
     gateway::Open(host.mSettings, host.mDisk, mNow, mRandom(), effects);
@@ -240,7 +240,7 @@
   mPolicyCalls.erase(call);
 }
 
-std::uint64_t GatewayWorld::PolicyInForce(std::size_t aHost) const
+std::uint64_t GatewayWorld::AppliedPolicy(std::size_t aHost) const
 {
   const Host& host = mHosts.at(aHost);
   const auto& policy = host.mState.mDispatch.mPolicy;
@@ -323,7 +323,7 @@
     Post(*host, std::move(call));
   }
   const int start = target.mStarts;
-  Later(kRenewal, [this, aAddress, start] {
+  Later(kRenewInterval, [this, aAddress, start] {
     if (mTargets[aAddress].mStarts == start && !mTargets[aAddress].mDraining) {
       Announce(aAddress);
     }
@@ -338,7 +338,7 @@
   target.mWaiting.clear();
   target.mDraining = false;
   BreakJobs(aAddress, dispatch::EndKind::Broken);
-  Later(mLoad.mRestart, [this, aAddress] {
+  Later(mLoad.mRestartDelay, [this, aAddress] {
     if (!mTargets[aAddress].mAlive) {
       StartTarget(aAddress);
     }
@@ -403,7 +403,7 @@
   FakeTarget& target = mTargets.at(job.mTarget);
   dispatch::AttemptEnd end;
   if (target.mSilent) {
-    Later(kConnectPatience, [this, aJob] {
+    Later(kConnectTimeout, [this, aJob] {
       if (mJobs.count(aJob) != 0) {
         dispatch::AttemptEnd late;
         late.mKind = dispatch::EndKind::NotSent;
@@ -444,32 +444,32 @@
   }
 }
 
-void GatewayWorld::NoteRun(const Job& aJob)
+void GatewayWorld::RecordRun(const Job& aJob)
 {
   if (mLoad.mIdempotent) {
     return;
   }
   const auto key = std::make_pair(aJob.mHost, aJob.mSend.mRequest);
   if (++mRuns[key] > 1) {
-    mBroken.push_back("ran twice: " + aJob.mPath);
+    mViolation.push_back("ran twice: " + aJob.mPath);
   }
   if (mRefused.count(key) != 0) {
-    mBroken.push_back("ran after it was refused: " + aJob.mPath);
+    mViolation.push_back("ran after it was refused: " + aJob.mPath);
   }
 }
 
 void GatewayWorld::StartJob(std::uint64_t aJob)
 {
   Job& job = mJobs.at(aJob);
-  NoteRun(job);
+  RecordRun(job);
   job.mRunning = true;
   ++mTargets.at(job.mTarget).mRunning;
   if (mHarmful.count(job.mPath) != 0) {
-    Later(mLoad.mEndsAfter, [this, aJob] {
+    Later(mLoad.mCrashDelay, [this, aJob] {
       const auto still = mJobs.find(aJob);
       if (still != mJobs.end()) {
         const std::string address = still->second.mTarget;
-        mEnds[still->second.mPath].push_back(mNow);
+        mCrashTimes[still->second.mPath].push_back(mNow);
         EndTarget(address);
       }
     });
@@ -517,7 +517,8 @@
   }
   aEnd.mRequest = job.mSend.mRequest;
   aEnd.mAttempt = job.mSend.mAttempt;
-  Later(kTrip, [this, host = job.mHost, aEnd] { ReportEnd(host, aEnd); });
+  Later(kOneWayDelay,
+        [this, host = job.mHost, aEnd] { ReportEnd(host, aEnd); });
 }
 
 void GatewayWorld::ReportEnd(std::size_t aHost, dispatch::AttemptEnd aEnd)
@@ -534,27 +535,27 @@
   Micros at = 0;
   while (at < aFor) {
     Later(at, [this] {
-      SendRequest({ "/" + std::to_string(++mLast), true, mLoad.mReturns });
+      SendRequest({ "/" + std::to_string(++mLast), true, mLoad.mRetries });
     });
     at += static_cast<Micros>(gaps(mRandom) * kSecond);
   }
 }
 
-void GatewayWorld::AskAgainAndAgain(const std::string& aPath,
-                                    Micros aGap,
-                                    Micros aFor,
-                                    bool aCounted)
+void GatewayWorld::SendRepeatedly(const std::string& aPath,
+                                  Micros aGap,
+                                  Micros aFor,
+                                  bool aCounted)
 {
   for (Micros at = 0; at < aFor; at += aGap) {
     Later(at, [this, aPath, aCounted] {
-      SendRequest({ aPath, aCounted, aCounted ? mLoad.mReturns : 0 });
+      SendRequest({ aPath, aCounted, aCounted ? mLoad.mRetries : 0 });
     });
   }
 }
 
 void GatewayWorld::SendRequest(Client aClient)
 {
-  const bool first = aClient.mReturns == mLoad.mReturns;
+  const bool first = aClient.mRetries == mLoad.mRetries;
   mTally.mOffered += aClient.mCounted && first ? 1 : 0;
   const std::optional<std::size_t> alive = AnyHost();
   if (!alive) {
@@ -587,10 +588,10 @@
     return;
   }
   const bool again = aStatus == 503 || (aStatus >= 500 && mLoad.mIdempotent);
-  if (again && client.mReturns > 0) {
-    --client.mReturns;
+  if (again && client.mRetries > 0) {
+    --client.mRetries;
     client.mSent = false;
-    Later(kReturnPause, [this, client] { SendRequest(client); });
+    Later(kRetryDelay, [this, client] { SendRequest(client); });
   } else if (aStatus == 200) {
     ++mTally.mServed;
   } else {
@@ -603,7 +604,7 @@
 void GatewayWorld::PerformOne(std::size_t aHost, dispatch::ProbeTarget& aEffect)
 {
   const bool silent = mTargets.at(aEffect.mAddress).mSilent;
-  const Micros patience = silent ? kProbePatience : 2 * kTrip;
+  const Micros patience = silent ? kProbeTimeout : 2 * kOneWayDelay;
   Later(patience, [this, aHost, silent, probe = aEffect] {
     const FakeTarget& target = mTargets.at(probe.mAddress);
     dispatch::ProbeEnd end;
@@ -613,7 +614,8 @@
       end.mHealthy = true;
       end.mAnsweredBy = target.mId;
       end.mReport = ReportOf(target);
-      end.mLimit = mProbesNameLimits ? LimitOf(target) : dispatch::LimitWord();
+      end.mLimit =
+        mProbesReportLimits ? LimitOf(target) : dispatch::LimitWord();
     }
     end.mRefused = !target.mAlive && !silent;
     Post(aHost, std::move(end));
@@ -633,7 +635,7 @@
   job.mTarget = aEffect.mAddress;
   const std::uint64_t id = ++mLast;
   mJobs[id] = std::move(job);
-  Later(kTrip, [this, id] { ArriveAtTarget(id); });
+  Later(kOneWayDelay, [this, id] { ArriveAtTarget(id); });
 }
 
 void GatewayWorld::PerformOne(std::size_t aHost,
@@ -669,7 +671,7 @@
   if (aEffect.mStatus == 503 && !mLoad.mIdempotent) {
     mRefused.insert(key);
     if (mRuns.count(key) != 0) {
-      mBroken.push_back("refused although it ran: " + aEffect.mReason);
+      mViolation.push_back("refused although it ran: " + aEffect.mReason);
     }
   }
   const auto client = mClients.find(key);
@@ -681,7 +683,7 @@
 void GatewayWorld::PerformOne(std::size_t aHost, gateway::SendPeer& aEffect)
 {
   if (aEffect.mMessage.has_gossip()) {
-    if (mLosesFacts) {
+    if (mDropsGossip) {
       return;
     }
     ++mGossipMessages;
@@ -693,7 +695,7 @@
       (mLose && mLose(aHost, found->second, aEffect.mMessage))) {
     return;
   }
-  Later(kTrip, [this, to = found->second, message = aEffect.mMessage] {
+  Later(kOneWayDelay, [this, to = found->second, message = aEffect.mMessage] {
     Post(to, gateway::PeerMessage{ message });
   });
 }
@@ -702,10 +704,10 @@
 {
   Host& host = mHosts[aHost];
   ApplyWrite(host.mDisk, aEffect.mWrite);
-  const std::uint64_t life = host.mLife;
+  const std::uint64_t life = host.mStartCount;
   const std::uint64_t sequence = aEffect.mWrite.mSequence;
   Later(kSyncTime, [this, aHost, life, sequence] {
-    if (mHosts[aHost].mLife == life) {
+    if (mHosts[aHost].mStartCount == life) {
       Post(aHost, gateway::DiskSynced{ sequence });
     }
   });
--- a/tests/fakes/gateway_world.h
+++ b/tests/fakes/gateway_world.h
@@ -31,11 +31,11 @@
   bool mIdempotent = true;
   int mAttempts = 2;
   /// Number of retries of a client whose request was refused or failed.
-  int mReturns = 1;
+  int mRetries = 1;
   /// Time from the end of a target to its restart under another id.
-  Micros mRestart = 5 * kSecond;
+  Micros mRestartDelay = 5 * kSecond;
   /// Time from the start of a harmful request to the crash of its target.
-  Micros mEndsAfter = 50 * kMillisecond;
+  Micros mCrashDelay = 50 * kMillisecond;
 };
 
 /// \brief The arrival of a request at a target.
@@ -84,15 +84,15 @@
     return mAcknowledgedPolicy;
   }
   /// \brief Policy version that a host applies; 0 for none.
-  [[nodiscard]] std::uint64_t PolicyInForce(std::size_t aHost) const;
+  [[nodiscard]] std::uint64_t AppliedPolicy(std::size_t aHost) const;
 
   /// \brief Clients request distinct paths at the configured rate.
   void StartClients(Micros aFor);
   /// \brief Requests `aPath` from a random host at every interval `aGap`.
-  void AskAgainAndAgain(const std::string& aPath,
-                        Micros aGap,
-                        Micros aFor,
-                        bool aCounted = false);
+  void SendRepeatedly(const std::string& aPath,
+                      Micros aGap,
+                      Micros aFor,
+                      bool aCounted = false);
 
   /// \brief Every target that runs a request for this path crashes.
   void MakeHarmful(const std::string& aPath) { mHarmful.insert(aPath); }
@@ -112,7 +112,7 @@
   /// on; 0 for no limit.
   void SetLimit(const std::string& aAddress, double aPerSecond);
   /// Answers to health probes announce limits as well.
-  bool mProbesNameLimits = false;
+  bool mProbesReportLimits = false;
 
   /// Share of requests that targets answer with an error.
   double mErrorShare = 0;
@@ -123,7 +123,7 @@
   std::function<bool(std::size_t, std::size_t, const wire::FleetMessage&)>
     mLose;
   /// Injected fault: all gossip messages are lost.
-  bool mLosesFacts = false;
+  bool mDropsGossip = false;
   void KillHost(std::size_t aHost);
   void StartHost(std::size_t aHost);
   void StopHost(std::size_t aHost);
@@ -143,12 +143,12 @@
   /// All requests that reached a target, including refused ones.
   std::vector<TargetArrival> mArrivals;
   /// Times of the crashes that a harmful request caused, by path.
-  std::map<std::string, std::vector<Micros>> mEnds;
+  std::map<std::string, std::vector<Micros>> mCrashTimes;
   /// Tally of counted clients.
   GatewayTally mTally;
   /// Violated guarantees: a non-idempotent request ran twice, or ran although
   /// its client was told that it did not.
-  std::vector<std::string> mBroken;
+  std::vector<std::string> mViolation;
   /// Gossip messages between hosts, including acknowledgements.
   std::uint64_t mGossipMessages = 0;
   std::uint64_t mGossipBytes = 0;
@@ -160,7 +160,7 @@
     gateway::State mState;
     consensus::Recovered mDisk;
     bool mAlive = false;
-    std::uint64_t mLife = 0;
+    std::uint64_t mStartCount = 0;
   };
   struct Job
   {
@@ -189,7 +189,7 @@
   {
     std::string mPath;
     bool mCounted = false;
-    int mReturns = 0;
+    int mRetries = 0;
     bool mSent = false;
   };
 
@@ -214,7 +214,7 @@
   void BreakJobs(const std::string& aAddress, dispatch::EndKind aKind);
   void ArriveAtTarget(std::uint64_t aJob);
   void StartJob(std::uint64_t aJob);
-  void NoteRun(const Job& aJob);
+  void RecordRun(const Job& aJob);
   void FinishJob(std::uint64_t aJob);
   void StartNext(FakeTarget& aTarget);
   void EndJob(std::uint64_t aJob, dispatch::AttemptEnd aEnd);
--- a/tests/gateway_restart_test.cpp
+++ b/tests/gateway_restart_test.cpp
@@ -70,7 +70,7 @@
     for (int step = 0; step < 400; ++step) {
       aWorld.Advance(10 * kMillisecond);
       for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
-        const std::uint64_t version = aWorld.PolicyInForce(host);
+        const std::uint64_t version = aWorld.AppliedPolicy(host);
         CPPUNIT_ASSERT_MESSAGE("host " + std::to_string(host) +
                                  " applies policy " + std::to_string(version) +
                                  " of " + std::to_string(acknowledged) +
@@ -80,10 +80,10 @@
     }
     // A change that was not acknowledged may still be applied, but then on all
     // hosts.
-    const std::uint64_t last = aWorld.PolicyInForce(0);
+    const std::uint64_t last = aWorld.AppliedPolicy(0);
     CPPUNIT_ASSERT(last >= acknowledged);
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
-      CPPUNIT_ASSERT_EQUAL(last, aWorld.PolicyInForce(host));
+      CPPUNIT_ASSERT_EQUAL(last, aWorld.AppliedPolicy(host));
     }
   }
 };
--- a/tests/gateway_stall_test.cpp
+++ b/tests/gateway_stall_test.cpp
@@ -42,7 +42,7 @@
   {
     GatewayLoad load;
     load.mIdempotent = false;
-    load.mReturns = 0;
+    load.mRetries = 0;
     GatewayWorld world(load, aSeed);
     world.Settle();
     world.StartClients(25 * kSecond);
--- a/tests/harmful_request_test.cpp
+++ b/tests/harmful_request_test.cpp
@@ -23,8 +23,8 @@
 // Number of arrivals more than kContact after the third crash.
 std::ptrdiff_t LaterArrivals(const GatewayWorld& aWorld)
 {
-  const auto ends = aWorld.mEnds.find(kHarmful);
-  if (ends == aWorld.mEnds.end() ||
+  const auto ends = aWorld.mCrashTimes.find(kHarmful);
+  if (ends == aWorld.mCrashTimes.end() ||
       ends->second.size() < kCrashesToQuarantine) {
     return 0;
   }
@@ -42,9 +42,9 @@
   aWorld.Settle();
   aWorld.StartClients(kTime);
   aWorld.MakeHarmful(kHarmful);
-  aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kTime);
+  aWorld.SendRepeatedly(kHarmful, kHarmfulInterval, kTime);
   aWorld.Advance(kTime + 2 * kSecond);
-  CPPUNIT_ASSERT(aWorld.mEnds[kHarmful].size() >= kCrashesToQuarantine);
+  CPPUNIT_ASSERT(aWorld.mCrashTimes[kHarmful].size() >= kCrashesToQuarantine);
 }
 
 // One request that all clients send repeatedly, among others.
@@ -53,7 +53,7 @@
 {
   aWorld.Settle();
   aWorld.StartClients(kTime);
-  aWorld.AskAgainAndAgain(kFrequent, 10 * kMillisecond, kTime, true);
+  aWorld.SendRepeatedly(kFrequent, 10 * kMillisecond, kTime, true);
   for (const Micros at : { 5, 10, 15 }) {
     aWorld.Later(at * kSecond, [&aWorld, aFault] { aFault(aWorld); });
   }
@@ -185,7 +185,7 @@
     world.ReleaseRequest(5, kHarmful);
     world.Advance(kSecond);
     world.mTally = {};
-    world.AskAgainAndAgain(kHarmful, 100 * kMillisecond, 5 * kSecond, true);
+    world.SendRepeatedly(kHarmful, 100 * kMillisecond, 5 * kSecond, true);
     world.Advance(6 * kSecond);
     CPPUNIT_ASSERT_EQUAL(50, world.mTally.mServed);
   }
@@ -196,9 +196,10 @@
     RunHarmfulRequest(world);
     world.ReleaseRequest(5, kHarmful);
     world.Advance(kSecond);
-    world.mEnds.clear();
+    world.mCrashTimes.clear();
     SendHarmfulRequests(world);
-    CPPUNIT_ASSERT_EQUAL(kCrashesToQuarantine, world.mEnds[kHarmful].size());
+    CPPUNIT_ASSERT_EQUAL(kCrashesToQuarantine,
+                         world.mCrashTimes[kHarmful].size());
   }
 
   void NewReleaseIsTriedByOneHostOnce()
@@ -206,9 +207,9 @@
     GatewayWorld world(GatewayLoad(), 16);
     RunHarmfulRequest(world);
     ReplaceAllTargets(world);
-    world.mEnds.clear();
+    world.mCrashTimes.clear();
     SendHarmfulRequests(world);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), world.mEnds[kHarmful].size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), world.mCrashTimes[kHarmful].size());
   }
 
   void RequestThatTheNewReleaseSurvivesIsServedAgain()
@@ -217,10 +218,10 @@
     RunHarmfulRequest(world);
     ReplaceAllTargets(world);
     world.MakeHarmless(kHarmful);
-    world.AskAgainAndAgain(kHarmful, 100 * kMillisecond, 10 * kSecond);
+    world.SendRepeatedly(kHarmful, 100 * kMillisecond, 10 * kSecond);
     world.Advance(10 * kSecond);
     world.mTally = {};
-    world.AskAgainAndAgain(kHarmful, 100 * kMillisecond, 5 * kSecond, true);
+    world.SendRepeatedly(kHarmful, 100 * kMillisecond, 5 * kSecond, true);
     world.Advance(6 * kSecond);
     CPPUNIT_ASSERT_EQUAL(50, world.mTally.mServed);
   }
@@ -273,9 +274,9 @@
     GatewayWorld world(GatewayLoad(), 9);
     world.MakeHarmful(kHarmful);
     RunHarmlessRequests(world, [](GatewayWorld& aWorld) {
-      aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kSecond);
+      aWorld.SendRepeatedly(kHarmful, kHarmfulInterval, kSecond);
     });
-    CPPUNIT_ASSERT(world.mEnds[kHarmful].size() >= kCrashesToQuarantine);
+    CPPUNIT_ASSERT(world.mCrashTimes[kHarmful].size() >= kCrashesToQuarantine);
     // Only the harmful request is refused, and its clients are not counted.
     CPPUNIT_ASSERT_EQUAL(0, world.mTally.mQuarantined);
   }
@@ -293,7 +294,7 @@
   static void SendHarmfulRequests(GatewayWorld& aWorld)
   {
     aWorld.MakeHarmful(kHarmful);
-    aWorld.AskAgainAndAgain(kHarmful, kHarmfulInterval, kTime);
+    aWorld.SendRepeatedly(kHarmful, kHarmfulInterval, kTime);
     aWorld.Advance(kTime + 2 * kSecond);
   }
 
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -147,7 +147,7 @@
   void LimitInProbeAnswersIsTheSameLimit()
   {
     GatewayWorld world(GatewayLoad(), 40);
-    world.mProbesNameLimits = true;
+    world.mProbesReportLimits = true;
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
     world.SetLimit(Target(world), 0);
     world.StartClients(4 * kSecond);
@@ -188,7 +188,7 @@
     GatewayLoad load;
     load.mTargets = 1;
     load.mPerSecond = 100;
-    load.mReturns = 0;
+    load.mRetries = 0;
     GatewayWorld world(load, 43);
     Start(world);
     world.SetLimit(Target(world), 2.0);
