--- a/include/geraniumpond/consensus.h
+++ b/include/geraniumpond/consensus.h
@@ -37,7 +37,7 @@
 [[nodiscard]] const char* ToString(Role aRole) noexcept;
 
 /// \brief Timeouts and size limits.
-struct Rules
+struct Options
 {
   Micros mHeartbeat = 150 * kMillisecond;
   Micros mElectionMin = 600 * kMillisecond;
@@ -105,7 +105,7 @@
 {
   std::string mId;
   std::string mStorage;
-  Rules mRules;
+  Options mOptions;
 
   std::uint64_t mTerm = 0;
   std::string mVotedFor;
@@ -220,12 +220,12 @@
 /// \brief Compacts the log: replaces its applied part by a snapshot.
 void TakeSnapshot(State& aState, std::string aAppliedState, Output& aOut);
 
-/// \brief True when Rules::mSnapshotInterval entries were applied since the
+/// \brief True when Options::mSnapshotInterval entries were applied since the
 /// last snapshot.
 [[nodiscard]] bool NeedsSnapshot(const State& aState) noexcept;
 
 /// \brief True while this member is the leader and its disk works. Tick() ends
-/// leadership that no quorum has confirmed for Rules::mElectionMax.
+/// leadership that no quorum has confirmed for Options::mElectionMax.
 [[nodiscard]] bool IsLeader(const State& aState) noexcept;
 
 /// \brief True when this member has applied every entry that was committed when
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -42,7 +42,7 @@
 
 void LeaderTick(State& aState, Micros aNow, Output& aOut)
 {
-  if (!QuorumHeardSince(aState, aNow - aState.mRules.mElectionMax)) {
+  if (!QuorumHeardSince(aState, aNow - aState.mOptions.mElectionMax)) {
     BecomeFollower(aState, aState.mTerm, "", aOut);
     return;
   }
@@ -50,7 +50,7 @@
     aState.mTransferTo.clear();
   }
   if (aNow >= aState.mHeartbeatAt) {
-    aState.mHeartbeatAt = aNow + aState.mRules.mHeartbeat;
+    aState.mHeartbeatAt = aNow + aState.mOptions.mHeartbeat;
     Broadcast(aState, aNow, aOut);
     ResendChecks(aState, aNow, aOut);
   }
@@ -381,7 +381,8 @@
     return aState.mQuorumConfirmedAt;
   }
   const Micros heardAt = QuorumHeardAt(aState, aNow);
-  return heardAt == 0 ? 0 : std::min(aNow, heardAt + aState.mRules.mHeartbeat);
+  return heardAt == 0 ? 0
+                      : std::min(aNow, heardAt + aState.mOptions.mHeartbeat);
 }
 
 // Until an entry of the leader's own term commits, no member knows how much of
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -26,7 +26,7 @@
     return true;
   }
   return !aState.mLeader.empty() &&
-         aNow - aState.mHeardLeaderAt < aState.mRules.mElectionMin;
+         aNow - aState.mHeardLeaderAt < aState.mOptions.mElectionMin;
 }
 
 // A member that has not heard from a leader since its start has usually started
@@ -36,13 +36,14 @@
 // have made the last one fail.
 Micros StartupDivisor(const State& aState, Micros aNow)
 {
-  const bool starting = aState.mHeardLeaderAt == 0 &&
-                        aNow - aState.mOpenedAt < aState.mRules.mStartupPeriod;
+  const bool starting =
+    aState.mHeardLeaderAt == 0 &&
+    aNow - aState.mOpenedAt < aState.mOptions.mStartupPeriod;
   if (!starting) {
     return 1;
   }
   const int halvings = std::min(aState.mElections, kMaxHalvings);
-  return std::max<Micros>(1, aState.mRules.mStartupDivisor >> halvings);
+  return std::max<Micros>(1, aState.mOptions.mStartupDivisor >> halvings);
 }
 
 void SendVoteRequests(State& aState,
@@ -140,7 +141,7 @@
 
 void ResetElection(State& aState, Micros aNow, std::uint64_t aRandom)
 {
-  const Rules& rules = aState.mRules;
+  const Options& rules = aState.mOptions;
   const auto width =
     static_cast<std::uint64_t>(rules.mElectionMax - rules.mElectionMin);
   const std::uint64_t jitter = Hash64(aState.mId, aRandom) % (width + 1);
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -184,7 +184,7 @@
   }
   snapshot.set_state(std::move(aAppliedState));
   aState.mSnapshot = std::move(snapshot);
-  const std::size_t retained = aState.mRules.mRetainedEntries;
+  const std::size_t retained = aState.mOptions.mRetainedEntries;
   while (!aState.mLog.empty() && aState.mLog.front().index() <= index &&
          aState.mLog.size() > retained + (LastIndex(aState) - index)) {
     aState.mLog.pop_front();
@@ -195,7 +195,7 @@
 bool NeedsSnapshot(const State& aState) noexcept
 {
   return aState.mApplied >=
-         aState.mSnapshot.index() + aState.mRules.mSnapshotInterval;
+         aState.mSnapshot.index() + aState.mOptions.mSnapshotInterval;
 }
 
 void CommitTo(State& aState, std::uint64_t aIndex, Output& aOut)
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -58,7 +58,7 @@
 {
   const bool wanted =
     HasPendingReads(aState) && ConfirmedRound(aState) >= aState.mCheckRound;
-  return wanted ? aState.mCheckSentAt + aState.mRules.mCheckInterval
+  return wanted ? aState.mCheckSentAt + aState.mOptions.mCheckInterval
                 : std::numeric_limits<Micros>::max();
 }
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -49,7 +49,7 @@
   request.set_round(aState.mRound);
   request.set_word_age_ms(static_cast<std::uint32_t>(
     (aNow - QuorumConfirmedAt(aState, aNow)) / kMillisecond));
-  std::size_t remaining = aState.mRules.mEntriesPerMessage;
+  std::size_t remaining = aState.mOptions.mEntriesPerMessage;
   while (remaining > 0 && progress.mNext <= LastIndex(aState)) {
     *request.add_entries() = *EntryAt(aState, progress.mNext);
     ++progress.mNext;
@@ -259,7 +259,7 @@
   if (progress.mNext > LastIndex(aState)) {
     return;
   }
-  const Micros batchAt = progress.mSentAt + aState.mRules.mBatchInterval;
+  const Micros batchAt = progress.mSentAt + aState.mOptions.mBatchInterval;
   if (aNow >= batchAt) {
     SendAppend(aState, *member, aNow, aOut);
   } else {
@@ -295,7 +295,7 @@
   AppendEntries(aState, { entry }, aOut);
   // Broadcasting each of a thousand announcements by itself keeps a leader busy
   // for seconds.
-  const Micros batchAt = aState.mBroadcastAt + aState.mRules.mBatchInterval;
+  const Micros batchAt = aState.mBroadcastAt + aState.mOptions.mBatchInterval;
   if (aNow >= batchAt) {
     Broadcast(aState, aNow, aOut);
   } else {
@@ -316,12 +316,12 @@
   for (const wire::Member& member : aState.mMembership.members()) {
     const Progress& progress = aState.mProgress[member.id()];
     const bool reachable =
-      aNow - progress.mHeardAt < aState.mRules.mElectionMin;
+      aNow - progress.mHeardAt < aState.mOptions.mElectionMin;
     if (member.voter() && member.id() != aState.mId && reachable &&
         aExcept.count(member.id()) == 0 && progress.mMatch + 1 > best) {
       best = progress.mMatch + 1;
       aState.mTransferTo = member.id();
-      aState.mTransferUntil = aNow + aState.mRules.mElectionMin;
+      aState.mTransferUntil = aNow + aState.mOptions.mElectionMin;
     }
   }
   if (best == 0) {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -117,12 +117,12 @@
       aRecovered,
       aNow,
       aRandom);
-    state.mGroup.mRules.mStartupDivisor = kFirstElectionDivisor;
+    state.mGroup.mOptions.mStartupDivisor = kFirstElectionDivisor;
     state.mGroup.mElectionAt =
       aNow + (state.mGroup.mElectionAt - aNow) / kFirstAskDivisor;
-    state.mGroup.mRules.mBatchInterval = kBatchPause;
-    state.mGroup.mRules.mSnapshotInterval = kSnapshotEntries;
-    state.mGroup.mRules.mRetainedEntries = kRetainedEntries;
+    state.mGroup.mOptions.mBatchInterval = kBatchPause;
+    state.mGroup.mOptions.mSnapshotInterval = kSnapshotEntries;
+    state.mGroup.mOptions.mRetainedEntries = kRetainedEntries;
     LoadRecovered(state, aOut);
     NoteOpened(state, aOut);
   }
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -41,7 +41,7 @@
       CPPUNIT_ASSERT(UndisturbedTime(level) <= kAim);
       CPPUNIT_ASSERT(DisturbedTime(level, kMostLostControlHosts) <= kAim);
     }
-    CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitHeard);
+    CPPUNIT_ASSERT_EQUAL(consensus::Options().mHeartbeat, kCommitHeard);
     // Whoever is out of touch has been asking for longer.
     CPPUNIT_ASSERT(DisturbedTime(kMostLevels, kMostLostControlHosts) <=
                    kLeaderPatience);
