--- a/include/geraniumpond/gossip.h
+++ b/include/geraniumpond/gossip.h
@@ -102,7 +102,7 @@
 {
   std::vector<std::pair<std::string, wire::Gossip>> mMessages;
   /// Facts from neighbours that are new on this host.
-  std::vector<Item> mNews;
+  std::vector<Item> mNewItems;
 };
 
 /// \brief Publishes a fact observed on this host; returns true if it is new.
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -42,7 +42,7 @@
     *message.mutable_gossip() = std::move(gossip);
     SendTo(aState, address, std::move(message), aOut);
   }
-  for (gossip::Item& item : aGossip.mNews) {
+  for (gossip::Item& item : aGossip.mNewItems) {
     aOut.mNews.push_back(std::move(item));
   }
 }
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -244,7 +244,7 @@
     }
     Item received = FromWire(item, aNow);
     if (Merge(aState, aNow, received, aFrom)) {
-      aOut.mNews.push_back(std::move(received));
+      aOut.mNewItems.push_back(std::move(received));
     }
   }
   wire::Gossip reply;
