--- a/include/geraniumpond/hash.h
+++ b/include/geraniumpond/hash.h
@@ -24,8 +24,8 @@
   [[nodiscard]] std::uint64_t Digest() const noexcept;
 
 private:
-  struct Pieces;
-  std::unique_ptr<Pieces> mPieces;
+  struct Impl;
+  std::unique_ptr<Impl> mImpl;
 };
 
 /// \brief Lower-case hexadecimal SHA-256 of a text.
--- a/src/core/hash.cpp
+++ b/src/core/hash.cpp
@@ -12,7 +12,7 @@
   return XXH3_64bits_withSeed(aText.data(), aText.size(), aSeed);
 }
 
-struct Hasher::Pieces
+struct Hasher::Impl
 {
   std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> mState{
     XXH3_createState(),
@@ -21,9 +21,9 @@
 };
 
 Hasher::Hasher()
-  : mPieces(std::make_unique<Pieces>())
+  : mImpl(std::make_unique<Impl>())
 {
-  XXH3_64bits_reset(mPieces->mState.get());
+  XXH3_64bits_reset(mImpl->mState.get());
 }
 
 Hasher::~Hasher() = default;
@@ -32,12 +32,12 @@
 
 void Hasher::Add(std::string_view aPiece) noexcept
 {
-  XXH3_64bits_update(mPieces->mState.get(), aPiece.data(), aPiece.size());
+  XXH3_64bits_update(mImpl->mState.get(), aPiece.data(), aPiece.size());
 }
 
 std::uint64_t Hasher::Digest() const noexcept
 {
-  return XXH3_64bits_digest(mPieces->mState.get());
+  return XXH3_64bits_digest(mImpl->mState.get());
 }
 
 std::string Sha256Hex(std::string_view aText)
