--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -135,13 +135,13 @@
 std::string MostAdvancedVoter(const State& aState)
 {
   std::string best;
-  std::uint64_t most = 0;
+  std::uint64_t bestMatch = 0;
   for (const wire::Member& member : aState.mMembership.members()) {
     const auto progress = aState.mProgress.find(member.id());
     if (member.voter() && progress != aState.mProgress.end() &&
-        progress->second.mMatch > most) {
+        progress->second.mMatch > bestMatch) {
       best = member.id();
-      most = progress->second.mMatch;
+      bestMatch = progress->second.mMatch;
     }
   }
   return best;
--- a/src/core/text_delta.cpp
+++ b/src/core/text_delta.cpp
@@ -8,13 +8,13 @@
 
 wire::TextDelta MakeDelta(const std::string& aBase, const std::string& aNext)
 {
-  const std::size_t most = std::min(aBase.size(), aNext.size());
+  const std::size_t maxLength = std::min(aBase.size(), aNext.size());
   std::size_t prefix = 0;
-  while (prefix < most && aBase[prefix] == aNext[prefix]) {
+  while (prefix < maxLength && aBase[prefix] == aNext[prefix]) {
     ++prefix;
   }
   std::size_t suffix = 0;
-  while (suffix < most - prefix &&
+  while (suffix < maxLength - prefix &&
          aBase[aBase.size() - 1 - suffix] == aNext[aNext.size() - 1 - suffix]) {
     ++suffix;
   }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,10 +21,12 @@
 void AppendEffects(Context& aContext, dispatch::Effects aEffects)
 {
   for (dispatch::Effect& effect : aEffects) {
-    if (auto* tell = std::get_if<dispatch::TellFleet>(&effect)) {
+    if (auto* publish = std::get_if<dispatch::TellFleet>(&effect)) {
       fleet::Output output;
-      fleet::Tell(
-        aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
+      fleet::Tell(aContext.mState.mFleet,
+                  aContext.mNow,
+                  std::move(publish->mItem),
+                  output);
       ApplyFleetOutput(aContext, std::move(output));
       continue;
     }
@@ -155,9 +157,9 @@
 Micros EarliestExit(const State& aState)
 {
   const Settings& settings = aState.mSettings;
-  const Micros held = settings.mAnswerKeep * settings.mAnswerKeepFactor;
+  const Micros cacheTime = settings.mAnswerKeep * settings.mAnswerKeepFactor;
   return aState.mStopAt +
-         std::min(held + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
+         std::min(cacheTime + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
 }
 
 Micros ExitDeadline(const State& aState)
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -45,13 +45,13 @@
       aRecord.mCrashes.empty() ? 0 : aRecord.mCrashes.back().mAt;
     return std::make_pair(aRecord.mCrashes.size(), at);
   };
-  const auto least =
+  const auto weakest =
     std::min_element(aState.mRecords.begin(),
                      aState.mRecords.end(),
                      [&](const auto& aLeft, const auto& aRight) {
                        return rank(aLeft.second) < rank(aRight.second);
                      });
-  aState.mRecords.erase(least);
+  aState.mRecords.erase(weakest);
   ++aState.mDropped;
 }
 
@@ -156,19 +156,20 @@
     return Verdict::Clear;
   }
   int current = 0;
-  int gone = 0;
+  int retired = 0;
   for (const Crash& crash : Evidence(found->second, aNow)) {
     const bool deployed =
       crash.mRelease.empty() || aReleases.count(crash.mRelease) != 0;
-    ++(deployed ? current : gone);
+    ++(deployed ? current : retired);
   }
-  if (current + std::min(gone, kQuarantineCrashes - 1) >= kQuarantineCrashes) {
+  if (current + std::min(retired, kQuarantineCrashes - 1) >=
+      kQuarantineCrashes) {
     return Verdict::Quarantined;
   }
-  if (current + gone >= kQuarantineCrashes) {
+  if (current + retired >= kQuarantineCrashes) {
     return Verdict::OnTrial;
   }
-  return current + gone > 0 ? Verdict::Suspected : Verdict::Clear;
+  return current + retired > 0 ? Verdict::Suspected : Verdict::Clear;
 }
 
 Verdict EvaluateAnyRelease(const State& aState,
--- a/src/rate_share/rate_share.cpp
+++ b/src/rate_share/rate_share.cpp
@@ -56,9 +56,9 @@
     std::clamp(std::ceil(rate / kHolderRate),
                1.0,
                static_cast<double>(aMembers.mDigests.size()));
-  const bool holds =
+  const bool isHolder =
     static_cast<double>(RankOf(aMembers, Hash64(aName))) < holders;
-  return holds ? rate / holders : 0;
+  return isHolder ? rate / holders : 0;
 }
 
 } // namespace
--- a/tests/gateway_restart_test.cpp
+++ b/tests/gateway_restart_test.cpp
@@ -41,8 +41,8 @@
   }
 
 private:
-  // One control host reconnects to the other control hosts only after other
-  // hosts have connected to it.
+  // One control host exchanges no consensus messages for the first second, so
+  // that hosts follow it before it has heard from the other control hosts.
   static void RestartAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
   {
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
