--- a/bench/gateway_search.cpp
+++ b/bench/gateway_search.cpp
@@ -5,9 +5,8 @@
 //
 //   gateway_search --seeds N [--first S]   runs a range of seeds
 //   gateway_search --show S                minimizes the schedule of one seed
-//   gateway_search --plant facts           loses all gossip messages; exits
-//   with 1
-//                                          if a violation is found
+//   gateway_search --plant facts           loses all gossip messages; the exit
+//                                          code is 1 if a violation is found
 #include "fakes/gateway_schedule.h"
 #include "fakes/options.h"
 
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -51,7 +51,7 @@
   load.mControlHosts = aHosts > 50 ? 6 : 4;
   load.mOtherHosts = aHosts - load.mControlHosts;
   load.mTargets = aTargets;
-  // Relative to the capacity of the targets without a limit.
+  // aLoad is relative to the capacity of the targets without a limit.
   load.mPerSecond = aLoad * (aTargets - aLimited) * load.mSlots * kSecond /
                     static_cast<double>(load.mWork);
   GatewayWorld world(load, 7);
