--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -16,7 +16,7 @@
 using geraniumpond::fakes::GatewayWorld;
 using geraniumpond::fakes::TargetArrival;
 
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kPropagationTime = 3 * kSecond;
 constexpr Micros kWindow = 4 * kSecond;
 constexpr Micros kTime = 20 * kSecond;
 
@@ -53,7 +53,7 @@
   load.mTargets = aTargets;
   // aLoad is relative to the capacity of the targets without a limit.
   load.mPerSecond = aLoad * (aTargets - aLimited) * load.mSlots * kSecond /
-                    static_cast<double>(load.mWork);
+                    static_cast<double>(load.mServiceTime);
   GatewayWorld world(load, 7);
   world.Settle();
   world.StartClients(kTime + 4 * kSecond);
@@ -65,7 +65,7 @@
     world.SetLimit(address, aLimit);
     arrivals[address];
   }
-  const Micros from = world.Now() + kContact;
+  const Micros from = world.Now() + kPropagationTime;
   world.Advance(kTime);
   std::size_t used = 0;
   for (const TargetArrival& arrival : world.mArrivals) {
@@ -75,7 +75,8 @@
       ++used;
     }
   }
-  const double seconds = static_cast<double>(kTime - kContact) / kSecond;
+  const double seconds =
+    static_cast<double>(kTime - kPropagationTime) / kSecond;
   std::printf("%6d %8d %8d %7.1f %6.2f %10.2f %8.2f %8.3f %12.0f\n",
               aHosts,
               aTargets,
--- a/tests/fakes/gateway_schedule.cpp
+++ b/tests/fakes/gateway_schedule.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Time in which undisturbed hosts learn of each other's facts.
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kPropagationTime = 3 * kSecond;
 constexpr Micros kFaultTime = 24 * kSecond;
 /// Time from the last fault until service must be normal, and for how long that
 /// is checked.
@@ -53,7 +53,7 @@
       continue;
     }
     for (const auto& [from, until] : found->second) {
-      if (aAt >= from && aAt <= until + kContact) {
+      if (aAt >= from && aAt <= until + kPropagationTime) {
         return true;
       }
     }
@@ -95,8 +95,8 @@
       outcome.mMaxCrashes = std::max(outcome.mMaxCrashes, ends.size());
     }
     for (const std::string& broken :
-         { mWorld.mViolation.empty() ? std::string()
-                                     : mWorld.mViolation.front(),
+         { mWorld.mViolations.empty() ? std::string()
+                                      : mWorld.mViolations.front(),
            HarmfulViolation(),
            LimitViolation(),
            ExtraViolation(),
@@ -134,7 +134,7 @@
 
   void Inject(const GatewayStep& aStep)
   {
-    const Micros until = mWorld.Now() + aStep.mFor;
+    const Micros until = mWorld.Now() + aStep.mDuration;
     switch (aStep.mFault) {
       case GatewayFault::Harmful:
       case GatewayFault::Limit:
@@ -167,7 +167,8 @@
     switch (aStep.mFault) {
       case GatewayFault::Harmful:
         mWorld.MakeHarmful(HarmfulPath(aStep.mSubject));
-        mWorld.SendRepeatedly(HarmfulPath(aStep.mSubject), gap, aStep.mFor);
+        mWorld.SendRepeatedly(
+          HarmfulPath(aStep.mSubject), gap, aStep.mDuration);
         break;
       case GatewayFault::Limit:
         StartLimit(aStep, target, aUntil);
@@ -181,7 +182,7 @@
         }
         break;
       case GatewayFault::TargetSilent:
-        mWorld.SilenceTarget(target, aStep.mFor);
+        mWorld.SilenceTarget(target, aStep.mDuration);
         break;
       case GatewayFault::TargetReset:
         mWorld.ResetConnections(target);
@@ -191,7 +192,7 @@
         break;
       default:
         mWorld.mErrorShare = 0.3;
-        mWorld.Later(aStep.mFor, [this] { mWorld.mErrorShare = 0; });
+        mWorld.Later(aStep.mDuration, [this] { mWorld.mErrorShare = 0; });
     }
   }
 
@@ -205,9 +206,11 @@
       return;
     }
     mWorld.SetLimit(aTarget, aStep.mRate);
-    mRecord.mLimits[aTarget].emplace_back(mWorld.Now() + kContact, aUntil);
+    mRecord.mLimits[aTarget].emplace_back(mWorld.Now() + kPropagationTime,
+                                          aUntil);
     mRecord.mRates[aTarget] = aStep.mRate;
-    mWorld.Later(aStep.mFor, [this, aTarget] { mWorld.SetLimit(aTarget, 0); });
+    mWorld.Later(aStep.mDuration,
+                 [this, aTarget] { mWorld.SetLimit(aTarget, 0); });
   }
 
   void InjectIntoHost(const GatewayStep& aStep, std::size_t aHost)
@@ -218,17 +221,18 @@
         break;
       case GatewayFault::HostFrozen:
         mWorld.FreezeHost(aHost);
-        mWorld.Later(aStep.mFor, [this, aHost] { mWorld.ThawHost(aHost); });
+        mWorld.Later(aStep.mDuration,
+                     [this, aHost] { mWorld.ThawHost(aHost); });
         return;
       case GatewayFault::HostCut:
         mWorld.mCutOff.insert(aHost);
-        mWorld.Later(aStep.mFor,
+        mWorld.Later(aStep.mDuration,
                      [this, aHost] { mWorld.mCutOff.erase(aHost); });
         return;
       default:
         mWorld.KillHost(aHost);
     }
-    mWorld.Later(aStep.mFor, [this, aHost] {
+    mWorld.Later(aStep.mDuration, [this, aHost] {
       mWorld.KillHost(aHost);
       mWorld.StartHost(aHost);
     });
@@ -241,7 +245,7 @@
     for (std::size_t host = 0; host < mWorld.Hosts(); ++host) {
       if (all || IsControl(host)) {
         mWorld.KillHost(host);
-        mWorld.Later(aStep.mFor, [this, host] {
+        mWorld.Later(aStep.mDuration, [this, host] {
           mWorld.KillHost(host);
           mWorld.StartHost(host);
         });
@@ -262,7 +266,7 @@
         continue;
       }
       // A fleet that failed as a whole has to detect the request again.
-      const Micros from = ends[kCrashesToQuarantine - 1] + kContact;
+      const Micros from = ends[kCrashesToQuarantine - 1] + kPropagationTime;
       const std::string& asked = path;
       const auto later = static_cast<std::size_t>(
         std::count_if(mWorld.mArrivals.begin(),
@@ -381,8 +385,8 @@
   load.mOtherHosts = static_cast<int>(aRandom() % 30);
   load.mTargets = 6 + static_cast<int>(aRandom() % 20);
   load.mIdempotent = aRandom() % 3 != 0;
-  const double room =
-    load.mTargets * load.mSlots * kSecond / static_cast<double>(load.mWork);
+  const double room = load.mTargets * load.mSlots * kSecond /
+                      static_cast<double>(load.mServiceTime);
   load.mPerSecond = std::min(
     400.0, room * (0.15 + 0.4 * static_cast<double>(aRandom() % 100) / 100));
   return load;
@@ -412,7 +416,8 @@
         ? static_cast<GatewayFault>(kind)
         : (kind % 2 == 0 ? GatewayFault::Harmful : GatewayFault::Limit);
     step.mAt = static_cast<Micros>(random() % 16000) * kMillisecond;
-    step.mFor = (500 + static_cast<Micros>(random() % 7500)) * kMillisecond;
+    step.mDuration =
+      (500 + static_cast<Micros>(random() % 7500)) * kMillisecond;
     step.mSubject = random();
     step.mRate = 0.5 + static_cast<double>(random() % 100) / 10;
     schedule.mSteps.push_back(step);
@@ -463,7 +468,7 @@
                   "  %6.2f s %-16s for %5.2f s which %llu rate %.1f\n",
                   static_cast<double>(step.mAt) / kSecond,
                   ToString(step.mFault),
-                  static_cast<double>(step.mFor) / kSecond,
+                  static_cast<double>(step.mDuration) / kSecond,
                   static_cast<unsigned long long>(step.mSubject),
                   step.mRate);
     text += line;
--- a/tests/fakes/gateway_schedule.h
+++ b/tests/fakes/gateway_schedule.h
@@ -36,7 +36,7 @@
 {
   Micros mAt = 0;
   GatewayFault mFault = GatewayFault::Harmful;
-  Micros mFor = 0;
+  Micros mDuration = 0;
   /// Index of the host or target, modulo their number.
   std::size_t mSubject = 0;
   /// Limit or rate of harmful requests, in requests per second.
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kConnectTimeout = 300 * kMillisecond;
 constexpr Micros kRenewInterval = 1500 * kMillisecond;
 constexpr Micros kRetryDelay = 100 * kMillisecond;
-constexpr double kWorkSpread = 0.3;
+constexpr double kServiceTimeSpread = 0.3;
 constexpr const char* kService = "service";
 
 std::string PolicyDocument(const GatewayLoad& aLoad, std::uint64_t aVersion)
@@ -123,7 +123,7 @@
 void GatewayWorld::StartHost(std::size_t aHost)
 {
   Host& host = mHosts[aHost];
-  host.mSettings.mFleet.mIncarnation = ++mLast;
+  host.mSettings.mFleet.mIncarnation = ++mLastId;
   host.mAlive = true;
   ++host.mStartCount;
   gateway::Effects effects;
@@ -151,7 +151,7 @@
   arrival.mHostName = "host";
   arrival.mPath = aPath;
   Post(aHost,
-       gateway::ReleaseRequest{ ++mLast, dispatch::IdentityOf(arrival) });
+       gateway::ReleaseRequest{ ++mLastId, dispatch::IdentityOf(arrival) });
 }
 
 // Clients of a killed host get no answer.
@@ -224,8 +224,8 @@
 void GatewayWorld::PutNextPolicy(std::size_t aHost)
 {
   const std::uint64_t version = mAcknowledgedPolicy + 1;
-  mPolicyCalls[++mLast] = version;
-  Post(aHost, gateway::PutPolicy{ mLast, PolicyDocument(mLoad, version) });
+  mPolicyCalls[++mLastId] = version;
+  Post(aHost, gateway::PutPolicy{ mLastId, PolicyDocument(mLoad, version) });
 }
 
 void GatewayWorld::PerformOne(std::size_t, gateway::AnswerOperation& aEffect)
@@ -310,13 +310,13 @@
     return;
   }
   gateway::Announce call;
-  call.mOperation = ++mLast;
+  call.mOperation = ++mLastId;
   call.mRecord.set_id(target.mId);
   call.mRecord.set_service(kService);
   call.mRecord.set_address(aAddress);
   call.mRecord.set_data_centre(target.mDataCentre);
   call.mRecord.set_slots(static_cast<unsigned>(mLoad.mSlots));
-  call.mRecord.set_sequence(++mLast);
+  call.mRecord.set_sequence(++mLastId);
   call.mRecord.set_draining(target.mDraining);
   call.mRecord.set_release(target.mRelease);
   if (const std::optional<std::size_t> host = AnyHost()) {
@@ -451,10 +451,10 @@
   }
   const auto key = std::make_pair(aJob.mHost, aJob.mSend.mRequest);
   if (++mRuns[key] > 1) {
-    mViolation.push_back("ran twice: " + aJob.mPath);
+    mViolations.push_back("ran twice: " + aJob.mPath);
   }
   if (mRefused.count(key) != 0) {
-    mViolation.push_back("ran after it was refused: " + aJob.mPath);
+    mViolations.push_back("ran after it was refused: " + aJob.mPath);
   }
 }
 
@@ -475,9 +475,9 @@
     });
     return;
   }
-  std::lognormal_distribution<double> spread(-kWorkSpread * kWorkSpread / 2,
-                                             kWorkSpread);
-  const double work = static_cast<double>(mLoad.mWork) * spread(mRandom);
+  std::lognormal_distribution<double> spread(
+    -kServiceTimeSpread * kServiceTimeSpread / 2, kServiceTimeSpread);
+  const double work = static_cast<double>(mLoad.mServiceTime) * spread(mRandom);
   Later(static_cast<Micros>(work), [this, aJob] { FinishJob(aJob); });
 }
 
@@ -535,7 +535,7 @@
   Micros at = 0;
   while (at < aFor) {
     Later(at, [this] {
-      SendRequest({ "/" + std::to_string(++mLast), true, mLoad.mRetries });
+      SendRequest({ "/" + std::to_string(++mLastId), true, mLoad.mRetries });
     });
     at += static_cast<Micros>(gaps(mRandom) * kSecond);
   }
@@ -564,7 +564,7 @@
   }
   const std::size_t host = *alive;
   dispatch::Arrival arrival;
-  arrival.mId = ++mLast;
+  arrival.mId = ++mLastId;
   arrival.mClientRequestId = std::to_string(arrival.mId);
   arrival.mHostName = "host";
   arrival.mPath = aClient.mPath;
@@ -633,7 +633,7 @@
     job.mExtra = std::exchange(client->second.mSent, true);
   }
   job.mTarget = aEffect.mAddress;
-  const std::uint64_t id = ++mLast;
+  const std::uint64_t id = ++mLastId;
   mJobs[id] = std::move(job);
   Later(kOneWayDelay, [this, id] { ArriveAtTarget(id); });
 }
@@ -671,7 +671,7 @@
   if (aEffect.mStatus == 503 && !mLoad.mIdempotent) {
     mRefused.insert(key);
     if (mRuns.count(key) != 0) {
-      mViolation.push_back("refused although it ran: " + aEffect.mReason);
+      mViolations.push_back("refused although it ran: " + aEffect.mReason);
     }
   }
   const auto client = mClients.find(key);
--- a/tests/fakes/gateway_world.h
+++ b/tests/fakes/gateway_world.h
@@ -25,7 +25,7 @@
   int mSlots = 4;
   int mQueue = 16;
   double mPerSecond = 140;
-  Micros mWork = 90 * kMillisecond;
+  Micros mServiceTime = 90 * kMillisecond;
   Micros mObjective = 250 * kMillisecond;
   Micros mTimeout = 800 * kMillisecond;
   bool mIdempotent = true;
@@ -148,7 +148,7 @@
   GatewayTally mTally;
   /// Violated guarantees: a non-idempotent request ran twice, or ran although
   /// its client was told that it did not.
-  std::vector<std::string> mViolation;
+  std::vector<std::string> mViolations;
   /// Gossip messages between hosts, including acknowledgements.
   std::uint64_t mGossipMessages = 0;
   std::uint64_t mGossipBytes = 0;
@@ -246,7 +246,7 @@
   std::set<std::string> mHarmful;
   std::set<std::size_t> mFrozen;
   std::map<std::size_t, std::vector<std::function<void()>>> mDeferred;
-  std::uint64_t mLast = 0;
+  std::uint64_t mLastId = 0;
 };
 
 } // namespace geraniumpond::fakes
--- a/tests/harmful_request_test.cpp
+++ b/tests/harmful_request_test.cpp
@@ -14,13 +14,13 @@
 constexpr const char* kHarmful = "/harmful";
 constexpr const char* kFrequent = "/often";
 /// Time in which hosts that can reach each other learn of a crash.
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kPropagationTime = 3 * kSecond;
 constexpr std::size_t kCrashesToQuarantine = 3;
 constexpr std::ptrdiff_t kLaterArrivals = 3;
 constexpr Micros kTime = 20 * kSecond;
 constexpr Micros kHarmfulInterval = 400 * kMillisecond;
 
-// Number of arrivals more than kContact after the third crash.
+// Number of arrivals more than kPropagationTime after the third crash.
 std::ptrdiff_t LaterArrivals(const GatewayWorld& aWorld)
 {
   const auto ends = aWorld.mCrashTimes.find(kHarmful);
@@ -28,7 +28,7 @@
       ends->second.size() < kCrashesToQuarantine) {
     return 0;
   }
-  const Micros from = ends->second[kCrashesToQuarantine - 1] + kContact;
+  const Micros from = ends->second[kCrashesToQuarantine - 1] + kPropagationTime;
   return std::count_if(aWorld.mArrivals.begin(),
                        aWorld.mArrivals.end(),
                        [&](const fakes::TargetArrival& aArrival) {
@@ -149,7 +149,7 @@
     world.KillHost(9);
     world.Advance(4 * kSecond);
     world.StartHost(9);
-    world.Advance(kContact);
+    world.Advance(kPropagationTime);
     for (std::size_t host = 0; host < world.Hosts(); ++host) {
       if (host != 9) {
         world.KillHost(host);
@@ -171,7 +171,7 @@
     for (std::size_t host = 0; host < 4; ++host) {
       world.StartHost(host);
     }
-    world.Advance(kContact);
+    world.Advance(kPropagationTime);
     world.mArrivals.clear();
     SendHarmfulRequests(world);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HarmfulArrivals(world));
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -13,7 +13,7 @@
 using fakes::TargetArrival;
 
 /// Time in which hosts that can reach each other learn of a limit.
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kPropagationTime = 3 * kSecond;
 /// Window over which the arrivals at a target are counted.
 constexpr Micros kWindow = 4 * kSecond;
 constexpr double kSlack = 1.5;
@@ -277,8 +277,8 @@
     Start(aWorld);
     const std::string target = Target(aWorld);
     aWorld.SetLimit(target, aLimit);
-    const Micros from = aWorld.Now() + kContact;
-    aWorld.Advance(kContact);
+    const Micros from = aWorld.Now() + kPropagationTime;
+    aWorld.Advance(kPropagationTime);
     aFault(aWorld);
     aWorld.Advance(15 * kSecond);
     CPPUNIT_ASSERT_LESSEQUAL(Allowed(aLimit),
