--- a/bench/gateway_search.cpp
+++ b/bench/gateway_search.cpp
@@ -29,11 +29,11 @@
   const fakes::GatewaySchedule whole = MakeSchedule(aSeed, aDropsGossip);
   const fakes::GatewayOutcome outcome = fakes::RunGatewaySchedule(whole);
   if (outcome.mViolation.empty()) {
-    std::cout << "nothing broken\n" << fakes::Describe(whole) << std::flush;
+    std::cout << "no violation\n" << fakes::Describe(whole) << std::flush;
     return 0;
   }
   const fakes::GatewaySchedule smallest = fakes::ShrinkGatewaySchedule(whole);
-  std::cout << "broken: " << fakes::RunGatewaySchedule(smallest).mViolation
+  std::cout << "violation: " << fakes::RunGatewaySchedule(smallest).mViolation
             << "\n"
             << fakes::Describe(smallest) << std::flush;
   return 1;
@@ -41,25 +41,26 @@
 
 int Search(std::uint64_t aFirst, std::uint64_t aSeeds, bool aDropsGossip)
 {
-  int broken = 0;
-  long innocents = 0;
+  int violations = 0;
+  long harmlessRefused = 0;
   long offered = 0;
-  std::size_t ends = 0;
+  std::size_t maxCrashes = 0;
   for (std::uint64_t seed = aFirst; seed < aFirst + aSeeds; ++seed) {
     const fakes::GatewayOutcome outcome =
       fakes::RunGatewaySchedule(MakeSchedule(seed, aDropsGossip));
-    innocents += outcome.mHarmlessRefused;
+    harmlessRefused += outcome.mHarmlessRefused;
     offered += outcome.mOffered;
-    ends = std::max(ends, outcome.mMaxCrashes);
+    maxCrashes = std::max(maxCrashes, outcome.mMaxCrashes);
     if (!outcome.mViolation.empty()) {
-      ++broken;
+      ++violations;
       std::cout << "seed " << seed << ": " << outcome.mViolation << std::endl;
     }
   }
-  std::cout << aSeeds << " seeds, " << broken << " broken; " << innocents
-            << " of " << offered << " innocent requests refused; at most "
-            << ends << " targets ended under one request" << std::endl;
-  return broken == 0 ? 0 : 1;
+  std::cout << aSeeds << " seeds, " << violations << " with a violation; "
+            << harmlessRefused << " of " << offered
+            << " harmless requests refused; at most " << maxCrashes
+            << " targets crashed by one request" << std::endl;
+  return violations == 0 ? 0 : 1;
 }
 
 } // namespace
