--- a/bench/gateway_search.cpp
+++ b/bench/gateway_search.cpp
@@ -1,12 +1,12 @@
-// A seeded search for schedules of faults around whole gateway hosts after
-// which a promise is broken: requests that end targets, limits that targets
-// name, targets and hosts that end, fall silent, freeze, are cut off or
-// replaced.
+// Randomized search for fault schedules that violate a guarantee of simulated
+// gateway hosts. Faults are requests that crash targets, limits that targets
+// announce, and targets and hosts that crash, stop answering, freeze, are
+// isolated or replaced.
 //
-//   gateway_search --seeds N [--first S]   a range of seeds
-//   gateway_search --show S                one seed's smallest part
-//   gateway_search --plant facts           hosts hear of no facts; ends with 1
-//                                          where that is found
+//   gateway_search --seeds N [--first S]   runs a range of seeds
+//   gateway_search --show S                minimizes the schedule of one seed
+//   gateway_search --plant facts           loses all gossip messages; the exit
+//                                          code is 1 if a violation is found
 #include "fakes/gateway_schedule.h"
 #include "fakes/options.h"
 
@@ -17,49 +17,50 @@
 
 using namespace geraniumpond;
 
-fakes::GatewaySchedule MakeSchedule(std::uint64_t aSeed, bool aLosesFacts)
+fakes::GatewaySchedule MakeSchedule(std::uint64_t aSeed, bool aDropsGossip)
 {
   fakes::GatewaySchedule schedule = fakes::MakeGatewaySchedule(aSeed);
-  schedule.mLosesFacts = aLosesFacts;
+  schedule.mDropsGossip = aDropsGossip;
   return schedule;
 }
 
-int Show(std::uint64_t aSeed, bool aLosesFacts)
+int Show(std::uint64_t aSeed, bool aDropsGossip)
 {
-  const fakes::GatewaySchedule whole = MakeSchedule(aSeed, aLosesFacts);
-  const fakes::GatewayOutcome outcome = fakes::PlayGatewaySchedule(whole);
-  if (outcome.mBroken.empty()) {
-    std::cout << "nothing broken\n" << fakes::Describe(whole) << std::flush;
+  const fakes::GatewaySchedule whole = MakeSchedule(aSeed, aDropsGossip);
+  const fakes::GatewayOutcome outcome = fakes::RunGatewaySchedule(whole);
+  if (outcome.mViolation.empty()) {
+    std::cout << "no violation\n" << fakes::Describe(whole) << std::flush;
     return 0;
   }
   const fakes::GatewaySchedule smallest = fakes::ShrinkGatewaySchedule(whole);
-  std::cout << "broken: " << fakes::PlayGatewaySchedule(smallest).mBroken
+  std::cout << "violation: " << fakes::RunGatewaySchedule(smallest).mViolation
             << "\n"
             << fakes::Describe(smallest) << std::flush;
   return 1;
 }
 
-int Search(std::uint64_t aFirst, std::uint64_t aSeeds, bool aLosesFacts)
+int Search(std::uint64_t aFirst, std::uint64_t aSeeds, bool aDropsGossip)
 {
-  int broken = 0;
-  long innocents = 0;
+  int violations = 0;
+  long harmlessRefused = 0;
   long offered = 0;
-  std::size_t ends = 0;
+  std::size_t maxCrashes = 0;
   for (std::uint64_t seed = aFirst; seed < aFirst + aSeeds; ++seed) {
     const fakes::GatewayOutcome outcome =
-      fakes::PlayGatewaySchedule(MakeSchedule(seed, aLosesFacts));
-    innocents += outcome.mInnocents;
+      fakes::RunGatewaySchedule(MakeSchedule(seed, aDropsGossip));
+    harmlessRefused += outcome.mHarmlessRefused;
     offered += outcome.mOffered;
-    ends = std::max(ends, outcome.mMostEnds);
-    if (!outcome.mBroken.empty()) {
-      ++broken;
-      std::cout << "seed " << seed << ": " << outcome.mBroken << std::endl;
+    maxCrashes = std::max(maxCrashes, outcome.mMaxCrashes);
+    if (!outcome.mViolation.empty()) {
+      ++violations;
+      std::cout << "seed " << seed << ": " << outcome.mViolation << std::endl;
     }
   }
-  std::cout << aSeeds << " seeds, " << broken << " broken; " << innocents
-            << " of " << offered << " innocent requests refused; at most "
-            << ends << " targets ended under one request" << std::endl;
-  return broken == 0 ? 0 : 1;
+  std::cout << aSeeds << " seeds, " << violations << " with a violation; "
+            << harmlessRefused << " of " << offered
+            << " harmless requests refused; at most " << maxCrashes
+            << " targets crashed by one request" << std::endl;
+  return violations == 0 ? 0 : 1;
 }
 
 } // namespace
--- a/bench/harmful_bench.cpp
+++ b/bench/harmful_bench.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <utility>
 
-/// \brief What one request costs that ends each target that runs it and comes
-/// again at any host, by the number of hosts.
+/// \brief Measures the damage of a request that crashes every target that runs
+/// it and is sent repeatedly to random hosts, by number of hosts.
 namespace {
 
 using geraniumpond::kMillisecond;
@@ -14,7 +14,7 @@
 using geraniumpond::fakes::GatewayWorld;
 
 constexpr const char* kHarmful = "/harmful";
-constexpr std::size_t kEnds = 3;
+constexpr std::size_t kCrashesToQuarantine = 3;
 
 std::size_t HostsThatRefuse(const GatewayWorld& aWorld)
 {
@@ -26,7 +26,7 @@
   for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
     const geraniumpond::quarantine::State& state =
       aWorld.At(host).mDispatch.mQuarantine;
-    count += geraniumpond::quarantine::JudgeAnyRelease(
+    count += geraniumpond::quarantine::EvaluateAnyRelease(
                state, identity, aWorld.Now()) ==
                  geraniumpond::quarantine::Verdict::Quarantined
                ? 1
@@ -35,22 +35,23 @@
   return count;
 }
 
-// From the third end until 99 of 100 hosts refuse; negative for never.
+// Time from the third crash until 99% of the hosts refuse the request; negative
+// if they never do.
 Micros TimeUntilRefused(GatewayWorld& aWorld, Micros aMost)
 {
   const Micros until = aWorld.Now() + aMost;
   while (aWorld.Now() < until) {
     aWorld.Advance(kMillisecond);
-    const auto& ends = aWorld.mEnds[kHarmful];
-    if (ends.size() >= kEnds &&
+    const auto& ends = aWorld.mCrashTimes[kHarmful];
+    if (ends.size() >= kCrashesToQuarantine &&
         100 * HostsThatRefuse(aWorld) >= 99 * aWorld.Hosts()) {
-      return aWorld.Now() - ends[kEnds - 1];
+      return aWorld.Now() - ends[kCrashesToQuarantine - 1];
     }
   }
   return -1;
 }
 
-void Play(int aControlHosts, int aHosts, int aTargets, Micros aGap)
+void Run(int aControlHosts, int aHosts, int aTargets, Micros aGap)
 {
   GatewayLoad load;
   load.mControlHosts = aControlHosts;
@@ -62,14 +63,14 @@
   const Micros end = world.Now() + 22 * kSecond;
   world.StartClients(20 * kSecond);
   world.MakeHarmful(kHarmful);
-  world.AskAgainAndAgain(kHarmful, aGap, 20 * kSecond);
+  world.SendRepeatedly(kHarmful, aGap, 20 * kSecond);
   const Micros refused = TimeUntilRefused(world, 5 * kSecond);
   world.Advance(end - world.Now());
   std::printf("%6d %8d %8lld %6zu %10.1f %10.4f %12.0f\n",
               aHosts,
               aTargets,
               static_cast<long long>(aGap / kMillisecond),
-              world.mEnds[kHarmful].size(),
+              world.mCrashTimes[kHarmful].size(),
               static_cast<double>(refused) / kMillisecond,
               world.mTally.mServed / static_cast<double>(world.mTally.mOffered),
               static_cast<double>(world.mGossipBytes) / aHosts);
@@ -89,9 +90,9 @@
               "served",
               "bytes a host");
   for (const Micros gap : { 400, 100, 20 }) {
-    Play(4, 19, 20, gap * kMillisecond);
-    Play(6, 100, 100, gap * kMillisecond);
-    Play(6, 476, 200, gap * kMillisecond);
+    Run(4, 19, 20, gap * kMillisecond);
+    Run(6, 100, 100, gap * kMillisecond);
+    Run(6, 476, 200, gap * kMillisecond);
   }
   return 0;
 }
--- a/bench/limit_bench.cpp
+++ b/bench/limit_bench.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <vector>
 
-/// \brief What targets get that name a limit for all hosts together, by the
-/// number of hosts: the most in any window, and how much of it is used while
-/// work waits.
+/// \brief Measures the load on targets that announce a limit for all hosts
+/// combined, by number of hosts: the maximum in any window, and how much of the
+/// limit is used while requests wait.
 namespace {
 
 using geraniumpond::kSecond;
@@ -16,7 +16,7 @@
 using geraniumpond::fakes::GatewayWorld;
 using geraniumpond::fakes::TargetArrival;
 
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kPropagationTime = 3 * kSecond;
 constexpr Micros kWindow = 4 * kSecond;
 constexpr Micros kTime = 20 * kSecond;
 
@@ -25,7 +25,8 @@
   return aArrival.mTarget.substr(0, aArrival.mTarget.find('#'));
 }
 
-// Most arrivals in any window over what is allowed, of the worst target.
+// Maximum number of arrivals in any window at any target, relative to the
+// allowed number.
 double WorstWindow(const std::map<std::string, std::vector<Micros>>& aArrivals,
                    double aLimit)
 {
@@ -44,15 +45,15 @@
   return static_cast<double>(most) / allowed;
 }
 
-void Play(int aHosts, int aTargets, int aLimited, double aLimit, double aLoad)
+void Run(int aHosts, int aTargets, int aLimited, double aLimit, double aLoad)
 {
   GatewayLoad load;
   load.mControlHosts = aHosts > 50 ? 6 : 4;
   load.mOtherHosts = aHosts - load.mControlHosts;
   load.mTargets = aTargets;
-  // What the targets without a limit can do.
+  // aLoad is relative to the capacity of the targets without a limit.
   load.mPerSecond = aLoad * (aTargets - aLimited) * load.mSlots * kSecond /
-                    static_cast<double>(load.mWork);
+                    static_cast<double>(load.mServiceTime);
   GatewayWorld world(load, 7);
   world.Settle();
   world.StartClients(kTime + 4 * kSecond);
@@ -64,7 +65,7 @@
     world.SetLimit(address, aLimit);
     arrivals[address];
   }
-  const Micros from = world.Now() + kContact;
+  const Micros from = world.Now() + kPropagationTime;
   world.Advance(kTime);
   std::size_t used = 0;
   for (const TargetArrival& arrival : world.mArrivals) {
@@ -74,7 +75,8 @@
       ++used;
     }
   }
-  const double seconds = static_cast<double>(kTime - kContact) / kSecond;
+  const double seconds =
+    static_cast<double>(kTime - kPropagationTime) / kSecond;
   std::printf("%6d %8d %8d %7.1f %6.2f %10.2f %8.2f %8.3f %12.0f\n",
               aHosts,
               aTargets,
@@ -104,10 +106,10 @@
               "bytes a host");
   for (const double load : { 1.3, 0.5 }) {
     for (const double limit : { 0.5, 3.4, 15.0, 50.0 }) {
-      Play(19, 20, 1, limit, load);
-      Play(19, 20, 10, limit, load);
-      Play(476, 60, 1, limit, load);
-      Play(476, 60, 30, limit, load);
+      Run(19, 20, 1, limit, load);
+      Run(19, 20, 10, limit, load);
+      Run(476, 60, 1, limit, load);
+      Run(476, 60, 30, limit, load);
     }
   }
   return 0;
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -18,8 +18,9 @@
          aRight->storage() == aLeft.storage();
 }
 
-// Two majorities of neighbouring memberships overlap only when they differ by
-// one voter at most; a voter with another disk counts as another voter.
+// Majorities of two consecutive memberships are sure to overlap only when the
+// memberships differ by one voter at most. A voter whose disk was replaced
+// counts as another voter.
 std::size_t VoterChanges(const wire::Membership& aOld,
                          const wire::Membership& aNew)
 {
@@ -41,7 +42,7 @@
 
 void LeaderTick(State& aState, Micros aNow, Output& aOut)
 {
-  if (!QuorumHeardSince(aState, aNow - aState.mRules.mElectionMax)) {
+  if (!QuorumHeardSince(aState, aNow - aState.mOptions.mElectionMax)) {
     BecomeFollower(aState, aState.mTerm, "", aOut);
     return;
   }
@@ -49,15 +50,15 @@
     aState.mTransferTo.clear();
   }
   if (aNow >= aState.mHeartbeatAt) {
-    aState.mHeartbeatAt = aNow + aState.mRules.mHeartbeat;
+    aState.mHeartbeatAt = aNow + aState.mOptions.mHeartbeat;
     Broadcast(aState, aNow, aOut);
-    RepeatReads(aState, aNow, aOut);
+    ResendChecks(aState, aNow, aOut);
   }
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
 }
 
-// Messages that must not move the receiver to the sender's term.
-bool KeepsTerm(const wire::ConsensusMessage& aMessage)
+// Messages that do not by themselves move the receiver to the sender's term.
+bool PreservesTerm(const wire::ConsensusMessage& aMessage)
 {
   if (aMessage.has_vote_request()) {
     return true;
@@ -72,14 +73,14 @@
          aMessage.has_leader_check();
 }
 
-void RefuseOldTerm(State& aState,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut)
+void RejectStaleTerm(State& aState,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aMessage.from());
   reply.mutable_append_reply()->set_success(false);
   reply.mutable_append_reply()->set_index(1);
-  SendDurable(aState, std::move(reply), aOut);
+  SendAfterSync(aState, std::move(reply), aOut);
 }
 
 void FollowLeader(State& aState,
@@ -95,32 +96,32 @@
   aState.mHeardLeaderAt = aNow;
   if (aMessage.has_append_request()) {
     const std::uint32_t age = aMessage.append_request().word_age_ms();
-    aState.mWordAt = aNow - static_cast<Micros>(age) * kMillisecond;
+    aState.mQuorumConfirmedAt = aNow - static_cast<Micros>(age) * kMillisecond;
   }
   ResetElection(aState, aNow, aRandom);
 }
 
-void Handle(State& aState,
-            Micros aNow,
-            std::uint64_t aRandom,
-            const wire::ConsensusMessage& aMessage,
-            Output& aOut)
+void HandleMessage(State& aState,
+                   Micros aNow,
+                   std::uint64_t aRandom,
+                   const wire::ConsensusMessage& aMessage,
+                   Output& aOut)
 {
   switch (aMessage.body_case()) {
     case wire::ConsensusMessage::kVoteRequest:
-      TakeVoteRequest(aState, aNow, aRandom, aMessage, aOut);
+      HandleVoteRequest(aState, aNow, aRandom, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kVoteReply:
-      TakeVoteReply(aState, aNow, aRandom, aMessage, aOut);
+      HandleVoteReply(aState, aNow, aRandom, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kAppendRequest:
-      TakeAppendRequest(aState, aMessage, aOut);
+      HandleAppendRequest(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kAppendReply:
-      TakeAppendReply(aState, aNow, aMessage, aOut);
+      HandleAppendReply(aState, aNow, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kSnapshotRequest:
-      TakeSnapshotRequest(aState, aMessage, aOut);
+      HandleSnapshotRequest(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kTransferRequest:
       if (IsVoter(aState)) {
@@ -128,10 +129,10 @@
       }
       break;
     case wire::ConsensusMessage::kLeaderCheck:
-      TakeLeaderCheck(aState, aMessage, aOut);
+      HandleLeaderCheck(aState, aMessage, aOut);
       break;
     case wire::ConsensusMessage::kLeaderCheckReply:
-      TakeLeaderCheckReply(aState, aNow, aMessage, aOut);
+      HandleLeaderCheckReply(aState, aNow, aMessage, aOut);
       break;
     case wire::ConsensusMessage::BODY_NOT_SET:
       break;
@@ -177,9 +178,9 @@
   return self != nullptr && self->voter() && self->storage() == aState.mStorage;
 }
 
-// Whether any of the memberships has this member's vote that may be in force:
-// the last one that is known to be committed, and all after it.
-bool MayHaveAVote(const State& aState) noexcept
+// True when this member is a voter in any membership that may be in effect: the
+// last one known to be committed and all later ones.
+bool MayHaveVote(const State& aState) noexcept
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
     if (!it->has_membership()) {
@@ -202,13 +203,13 @@
   return IsVoterOf(aState, aState.mMembership);
 }
 
-// The member whose vote is being taken may be the only one that has the entry
-// that takes it: the others need its vote still, and it grants none to a log
-// that is shorter. It leads until the entry is committed.
-bool MayStand(const State& aState) noexcept
+// A voter that is being removed may be the only member that has the entry which
+// removes it. The others still need its vote, and it grants none to a shorter
+// log, so it must be able to lead until that entry is committed.
+bool MayCampaign(const State& aState) noexcept
 {
   return IsVoter(aState) ||
-         (aState.mMembershipIndex > aState.mCommit && MayHaveAVote(aState));
+         (aState.mMembershipIndex > aState.mCommit && MayHaveVote(aState));
 }
 
 std::size_t VoterCount(const wire::Membership& aMembers) noexcept
@@ -224,8 +225,8 @@
   return VoterCount(aState.mMembership) / 2 + 1;
 }
 
-wire::Membership Without(const wire::Membership& aMembers,
-                         const std::string& aId)
+wire::Membership WithoutMember(const wire::Membership& aMembers,
+                               const std::string& aId)
 {
   wire::Membership others;
   for (const wire::Member& member : aMembers.members()) {
@@ -251,18 +252,20 @@
   aOut.mMessages.push_back(std::move(aMessage));
 }
 
-void SendDurable(State& aState, wire::ConsensusMessage aMessage, Output& aOut)
+void SendAfterSync(State& aState, wire::ConsensusMessage aMessage, Output& aOut)
 {
   if (aState.mSyncedSequence >= aState.mWriteSequence) {
     Send(std::move(aMessage), aOut);
     return;
   }
-  aState.mHeld.push_back({ aState.mWriteSequence, std::move(aMessage) });
+  aState.mDeferredMessages.push_back(
+    { aState.mWriteSequence, std::move(aMessage) });
 }
 
 namespace {
 
-// The latest time by which a quorum has answered; the leader itself does now.
+// The latest time by which a quorum has replied; the leader counts as having
+// replied now.
 Micros QuorumHeardAt(const State& aState, Micros aNow)
 {
   return ReachedByQuorum(
@@ -285,7 +288,7 @@
     LeaderTick(aState, aNow, aOut);
     return;
   }
-  if (!MayStand(aState)) {
+  if (!MayCampaign(aState)) {
     aState.mRole = Role::Learner;
     return;
   }
@@ -304,17 +307,17 @@
     return;
   }
   if (aMessage.term() < aState.mTerm && IsFromLeader(aMessage)) {
-    RefuseOldTerm(aState, aMessage, aOut);
+    RejectStaleTerm(aState, aMessage, aOut);
     return;
   }
-  if (aMessage.term() > aState.mTerm && !KeepsTerm(aMessage)) {
+  if (aMessage.term() > aState.mTerm && !PreservesTerm(aMessage)) {
     BecomeFollower(aState, aMessage.term(), "", aOut);
   }
   if (IsFromLeader(aMessage)) {
     FollowLeader(aState, aNow, aRandom, aMessage, aOut);
   }
-  Handle(aState, aNow, aRandom, aMessage, aOut);
-  if (aState.mRole == Role::Learner && MayStand(aState)) {
+  HandleMessage(aState, aNow, aRandom, aMessage, aOut);
+  if (aState.mRole == Role::Learner && MayCampaign(aState)) {
     aState.mRole = Role::Follower;
   }
 }
@@ -329,10 +332,12 @@
   }
   if (aState.mCommit < aState.mMembershipIndex ||
       aState.mCommit < aState.mTermStart) {
-    return Fail(ErrorCode::Conflict, "an earlier change is not committed");
+    return Fail(ErrorCode::Conflict,
+                "an earlier membership change is not yet committed");
   }
   if (VoterChanges(aState.mMembership, aNext) > 1 || VoterCount(aNext) == 0) {
-    return Fail(ErrorCode::InvalidArgument, "one voter at a time");
+    return Fail(ErrorCode::InvalidArgument,
+                "only one voter can be changed at a time");
   }
   wire::Entry entry;
   entry.set_term(aState.mTerm);
@@ -343,7 +348,7 @@
     if (aState.mProgress.count(member.id()) == 0) {
       Progress& progress = aState.mProgress[member.id()];
       progress.mNext = LastIndex(aState);
-      progress.mKnownSince = aNow;
+      progress.mTrackedSince = aNow;
       progress.mHeardAt = aNow;
     }
   }
@@ -355,12 +360,12 @@
   return entry.index();
 }
 
-void Failed(State& aState)
+void MarkFailed(State& aState)
 {
   aState.mFailed = true;
   aState.mRole = Role::Learner;
   aState.mLeader.clear();
-  aState.mHeld.clear();
+  aState.mDeferredMessages.clear();
 }
 
 bool IsLeader(const State& aState) noexcept
@@ -368,19 +373,20 @@
   return aState.mRole == Role::Leader && !aState.mFailed;
 }
 
-// The quorum answers each heartbeat: until the next one is due no answer is
-// missing.
-Micros WordAt(const State& aState, Micros aNow)
+// The quorum replies to every heartbeat, so that no reply is missing until the
+// next one is due.
+Micros QuorumConfirmedAt(const State& aState, Micros aNow)
 {
   if (!IsLeader(aState)) {
-    return aState.mWordAt;
+    return aState.mQuorumConfirmedAt;
   }
   const Micros heardAt = QuorumHeardAt(aState, aNow);
-  return heardAt == 0 ? 0 : std::min(aNow, heardAt + aState.mRules.mHeartbeat);
+  return heardAt == 0 ? 0
+                      : std::min(aNow, heardAt + aState.mOptions.mHeartbeat);
 }
 
-// Until an entry of the leader's own term commits nobody knows how much of the
-// earlier log had been committed, the leader included.
+// Until an entry of the leader's own term commits, no member knows how much of
+// the earlier log was committed, not even the leader.
 bool IsCurrent(const State& aState) noexcept
 {
   if (aState.mFailed || TermAt(aState, aState.mCommit) != aState.mTerm) {
@@ -399,7 +405,7 @@
            : aState.mElectionAt;
 }
 
-wire::Membership Founders(const std::vector<wire::Peer>& aPeers)
+wire::Membership InitialMembership(const std::vector<wire::Peer>& aPeers)
 {
   wire::Membership membership;
   for (const wire::Peer& peer : aPeers) {
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMostHalvings = 16;
+constexpr int kMaxHalvings = 16;
 
 bool LogIsUpToDate(const State& aState, const wire::VoteRequest& aRequest)
 {
@@ -20,35 +20,37 @@
   return aRequest.last_index() >= last;
 }
 
-bool HearsLeader(const State& aState, Micros aNow)
+bool HasLiveLeader(const State& aState, Micros aNow)
 {
   if (aState.mRole == Role::Leader) {
     return true;
   }
   return !aState.mLeader.empty() &&
-         aNow - aState.mHeardLeaderAt < aState.mRules.mElectionMin;
+         aNow - aState.mHeardLeaderAt < aState.mOptions.mElectionMin;
 }
 
-// A member that has heard no leader since its start mostly starts together
-// with the others; if it does not, the pre-vote keeps it from disturbing. An
-// election that failed, by a slow disk or two candidates at once, is given
-// twice the time with each.
-Micros FirstDivisor(const State& aState, Micros aNow)
+// A member that has not heard from a leader since its start has usually started
+// together with the others, so that a short timeout elects a leader sooner;
+// where it has not, the pre-vote keeps it from disrupting the group. Each
+// election doubles the timeout, since slow disks or simultaneous candidates may
+// have made the last one fail.
+Micros StartupDivisor(const State& aState, Micros aNow)
 {
-  const bool starting = aState.mHeardLeaderAt == 0 &&
-                        aNow - aState.mOpenedAt < aState.mRules.mFirstTime;
+  const bool starting =
+    aState.mHeardLeaderAt == 0 &&
+    aNow - aState.mOpenedAt < aState.mOptions.mStartupPeriod;
   if (!starting) {
     return 1;
   }
-  const int halvings = std::min(aState.mElections, kMostHalvings);
-  return std::max<Micros>(1, aState.mRules.mFirstDivisor >> halvings);
+  const int halvings = std::min(aState.mElections, kMaxHalvings);
+  return std::max<Micros>(1, aState.mOptions.mStartupDivisor >> halvings);
 }
 
-void AskForVotes(State& aState,
-                 std::uint64_t aTerm,
-                 bool aPreVote,
-                 bool aTransfer,
-                 Output& aOut)
+void SendVoteRequests(State& aState,
+                      std::uint64_t aTerm,
+                      bool aPreVote,
+                      bool aTransfer,
+                      Output& aOut)
 {
   const std::uint64_t last = LastIndex(aState);
   for (const wire::Member& member : aState.mMembership.members()) {
@@ -62,7 +64,7 @@
     request.set_last_term(TermAt(aState, last).value_or(0));
     request.set_pre_vote(aPreVote);
     request.set_transfer(aTransfer);
-    SendDurable(aState, std::move(message), aOut);
+    SendAfterSync(aState, std::move(message), aOut);
   }
 }
 
@@ -75,10 +77,10 @@
   for (const wire::Member& member : aState.mMembership.members()) {
     Progress& progress = aState.mProgress[member.id()];
     progress.mNext = LastIndex(aState) + 1;
-    progress.mKnownSince = aNow;
+    progress.mTrackedSince = aNow;
     progress.mHeardAt = aNow;
   }
-  // Entries of earlier terms commit only together with one of this term.
+  // Entries of earlier terms commit only through an entry of this term.
   wire::Entry entry;
   entry.set_term(aState.mTerm);
   entry.set_index(LastIndex(aState) + 1);
@@ -101,10 +103,10 @@
   }
 }
 
-void ReplyVote(State& aState,
-               const wire::ConsensusMessage& aRequest,
-               bool aGranted,
-               Output& aOut)
+void SendVoteReply(State& aState,
+                   const wire::ConsensusMessage& aRequest,
+                   bool aGranted,
+                   Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aRequest.from());
   wire::VoteReply& body = *reply.mutable_vote_reply();
@@ -113,11 +115,12 @@
   if (aGranted) {
     reply.set_term(aRequest.term());
   }
-  SendDurable(aState, std::move(reply), aOut);
+  SendAfterSync(aState, std::move(reply), aOut);
 }
 
-// One that stands while its vote is being taken does not count itself.
-std::set<std::string> OwnVote(const State& aState)
+// A member that campaigns while it is being removed as a voter does not count
+// its own vote.
+std::set<std::string> SelfVote(const State& aState)
 {
   return IsVoter(aState) ? std::set<std::string>{ aState.mId }
                          : std::set<std::string>{};
@@ -131,19 +134,19 @@
     aState.mVotedFor = aMessage.from();
     WriteHardState(aState, aOut);
   }
-  ReplyVote(aState, aMessage, true, aOut);
+  SendVoteReply(aState, aMessage, true, aOut);
 }
 
 } // namespace
 
 void ResetElection(State& aState, Micros aNow, std::uint64_t aRandom)
 {
-  const Rules& rules = aState.mRules;
+  const Options& rules = aState.mOptions;
   const auto width =
     static_cast<std::uint64_t>(rules.mElectionMax - rules.mElectionMin);
-  const std::uint64_t spread = Hash64(aState.mId, aRandom) % (width + 1);
-  const Micros timeout = rules.mElectionMin + static_cast<Micros>(spread);
-  aState.mElectionAt = aNow + timeout / FirstDivisor(aState, aNow);
+  const std::uint64_t jitter = Hash64(aState.mId, aRandom) % (width + 1);
+  const Micros timeout = rules.mElectionMin + static_cast<Micros>(jitter);
+  aState.mElectionAt = aNow + timeout / StartupDivisor(aState, aNow);
 }
 
 void BecomeFollower(State& aState,
@@ -156,7 +159,7 @@
     aState.mVotedFor.clear();
     WriteHardState(aState, aOut);
   }
-  aState.mRole = MayStand(aState) ? Role::Follower : Role::Learner;
+  aState.mRole = MayCampaign(aState) ? Role::Follower : Role::Learner;
   aState.mLeader = aLeader;
   aState.mVotes.clear();
   aState.mTransferTo.clear();
@@ -169,9 +172,9 @@
 {
   aState.mRole = Role::PreCandidate;
   aState.mLeader.clear();
-  aState.mVotes = OwnVote(aState);
+  aState.mVotes = SelfVote(aState);
   ResetElection(aState, aNow, aRandom);
-  AskForVotes(aState, aState.mTerm + 1, true, false, aOut);
+  SendVoteRequests(aState, aState.mTerm + 1, true, false, aOut);
   CountVotes(aState, aNow, aRandom, aOut);
 }
 
@@ -186,62 +189,62 @@
   ++aState.mTerm;
   ++aState.mElections;
   aState.mVotedFor = aState.mId;
-  aState.mVotes = OwnVote(aState);
+  aState.mVotes = SelfVote(aState);
   WriteHardState(aState, aOut);
   ResetElection(aState, aNow, aRandom);
-  AskForVotes(aState, aState.mTerm, false, aTransfer, aOut);
+  SendVoteRequests(aState, aState.mTerm, false, aTransfer, aOut);
   CountVotes(aState, aNow, aRandom, aOut);
 }
 
-// A learner votes as well: it may have been made a voter by an entry that it
-// has not received, and without it there may be no majority. The candidate
-// knows whether its vote counts.
-void TakeVoteRequest(State& aState,
-                     Micros aNow,
-                     std::uint64_t aRandom,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut)
+// Learners vote too: an entry that this member has not received may have made
+// it a voter, and there may be no majority without it. The candidate decides
+// whether the vote counts.
+void HandleVoteRequest(State& aState,
+                       Micros aNow,
+                       std::uint64_t aRandom,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut)
 {
   const wire::VoteRequest& request = aMessage.vote_request();
-  // A member that hears a leader does not help to depose it; this also keeps
-  // a host that is back from a partition from disturbing the group.
-  if (HearsLeader(aState, aNow) && !request.transfer()) {
-    ReplyVote(aState, aMessage, false, aOut);
+  // A member with a live leader does not vote against it. This also keeps a
+  // host that rejoins after a partition from disrupting the group.
+  if (HasLiveLeader(aState, aNow) && !request.transfer()) {
+    SendVoteReply(aState, aMessage, false, aOut);
     return;
   }
   if (request.pre_vote()) {
     const bool granted =
       aMessage.term() > aState.mTerm && LogIsUpToDate(aState, request);
-    ReplyVote(aState, aMessage, granted, aOut);
+    SendVoteReply(aState, aMessage, granted, aOut);
     return;
   }
   if (aMessage.term() > aState.mTerm) {
     BecomeFollower(aState, aMessage.term(), "", aOut);
   }
-  const bool free =
+  const bool mayVote =
     aState.mVotedFor.empty() || aState.mVotedFor == aMessage.from();
-  const bool granted =
-    aMessage.term() == aState.mTerm && free && LogIsUpToDate(aState, request);
+  const bool granted = aMessage.term() == aState.mTerm && mayVote &&
+                       LogIsUpToDate(aState, request);
   if (!granted) {
-    ReplyVote(aState, aMessage, false, aOut);
+    SendVoteReply(aState, aMessage, false, aOut);
     return;
   }
   ResetElection(aState, aNow, aRandom);
   GrantVote(aState, aMessage, aOut);
 }
 
-void TakeVoteReply(State& aState,
-                   Micros aNow,
-                   std::uint64_t aRandom,
-                   const wire::ConsensusMessage& aMessage,
-                   Output& aOut)
+void HandleVoteReply(State& aState,
+                     Micros aNow,
+                     std::uint64_t aRandom,
+                     const wire::ConsensusMessage& aMessage,
+                     Output& aOut)
 {
   const wire::VoteReply& reply = aMessage.vote_reply();
-  const bool mine = reply.pre_vote() ? aState.mRole == Role::PreCandidate &&
-                                         aMessage.term() == aState.mTerm + 1
-                                     : aState.mRole == Role::Candidate &&
-                                         aMessage.term() == aState.mTerm;
-  if (!mine || !reply.granted()) {
+  const bool expected = reply.pre_vote() ? aState.mRole == Role::PreCandidate &&
+                                             aMessage.term() == aState.mTerm + 1
+                                         : aState.mRole == Role::Candidate &&
+                                             aMessage.term() == aState.mTerm;
+  if (!expected || !reply.granted()) {
     return;
   }
   const wire::Member* member = FindMember(aState.mMembership, aMessage.from());
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The membership in force is the last one in the log, committed or not.
-void FindMembership(State& aState)
+// The last membership in the log is in effect, committed or not.
+void RefreshMembership(State& aState)
 {
   for (auto it = aState.mLog.rbegin(); it != aState.mLog.rend(); ++it) {
     if (it->has_membership()) {
@@ -29,7 +29,7 @@
   return hard;
 }
 
-void NoteUnsynced(State& aState)
+void TrackUnsynced(State& aState)
 {
   const std::uint64_t last = LastIndex(aState);
   if (!aState.mUnsynced.empty() &&
@@ -57,9 +57,9 @@
   Write write;
   write.mSequence = ++aState.mWriteSequence;
   write.mSnapshot = aState.mSnapshot;
-  write.mRetained = RetainedRecords(aState);
+  write.mRetainedRecords = RetainedRecords(aState);
   aOut.mWrites.push_back(std::move(write));
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 } // namespace
@@ -109,7 +109,7 @@
   Write& write = OpenWrite(aState, aOut);
   write.mRecords.emplace_back();
   *write.mRecords.back().mutable_hard_state() = HardStateOf(aState);
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 void AppendEntries(State& aState,
@@ -129,7 +129,7 @@
       aState.mMembershipIndex = entry.index();
     }
   }
-  NoteUnsynced(aState);
+  TrackUnsynced(aState);
 }
 
 void TruncateFrom(State& aState, std::uint64_t aIndex, Output& aOut)
@@ -141,17 +141,17 @@
   Write& write = OpenWrite(aState, aOut);
   write.mRecords.emplace_back();
   write.mRecords.back().set_truncate_from(aIndex);
-  FindMembership(aState);
-  NoteUnsynced(aState);
+  RefreshMembership(aState);
+  TrackUnsynced(aState);
 }
 
 void InstallSnapshot(State& aState,
                      const wire::Snapshot& aSnapshot,
                      Output& aOut)
 {
-  const bool keepsSuffix =
+  const bool suffixMatches =
     TermAt(aState, aSnapshot.index()) == aSnapshot.term();
-  if (!keepsSuffix) {
+  if (!suffixMatches) {
     aState.mLog.clear();
   }
   while (!aState.mLog.empty() &&
@@ -162,7 +162,7 @@
   aState.mCommit = aSnapshot.index();
   aState.mApplied = aSnapshot.index();
   aState.mSyncedIndex = 0;
-  FindMembership(aState);
+  RefreshMembership(aState);
   WriteSnapshot(aState, aOut);
   aOut.mInstall = aSnapshot;
 }
@@ -184,7 +184,7 @@
   }
   snapshot.set_state(std::move(aAppliedState));
   aState.mSnapshot = std::move(snapshot);
-  const std::size_t retained = aState.mRules.mRetained;
+  const std::size_t retained = aState.mOptions.mRetainedEntries;
   while (!aState.mLog.empty() && aState.mLog.front().index() <= index &&
          aState.mLog.size() > retained + (LastIndex(aState) - index)) {
     aState.mLog.pop_front();
@@ -192,10 +192,10 @@
   WriteSnapshot(aState, aOut);
 }
 
-bool WantsSnapshot(const State& aState) noexcept
+bool NeedsSnapshot(const State& aState) noexcept
 {
   return aState.mApplied >=
-         aState.mSnapshot.index() + aState.mRules.mSnapshotEvery;
+         aState.mSnapshot.index() + aState.mOptions.mSnapshotInterval;
 }
 
 void CommitTo(State& aState, std::uint64_t aIndex, Output& aOut)
@@ -208,7 +208,7 @@
   }
 }
 
-void Synced(State& aState, std::uint64_t aSequence, Output& aOut)
+void MarkSynced(State& aState, std::uint64_t aSequence, Output& aOut)
 {
   if (aState.mFailed) {
     return;
@@ -219,10 +219,12 @@
     aState.mSyncedIndex = aState.mUnsynced.front().second;
     aState.mUnsynced.pop_front();
   }
-  while (!aState.mHeld.empty() &&
-         aState.mHeld.front().mAfter <= aState.mSyncedSequence) {
-    aOut.mMessages.push_back(std::move(aState.mHeld.front().mMessage));
-    aState.mHeld.pop_front();
+  while (!aState.mDeferredMessages.empty() &&
+         aState.mDeferredMessages.front().mAfterWrite <=
+           aState.mSyncedSequence) {
+    aOut.mMessages.push_back(
+      std::move(aState.mDeferredMessages.front().mMessage));
+    aState.mDeferredMessages.pop_front();
   }
   if (aState.mRole == Role::Leader) {
     AdvanceCommit(aState, aOut);
@@ -247,8 +249,8 @@
     state.mLog.push_back(entry);
   }
   state.mSyncedIndex = LastIndex(state);
-  FindMembership(state);
-  state.mRole = MayStand(state) ? Role::Follower : Role::Learner;
+  RefreshMembership(state);
+  state.mRole = MayCampaign(state) ? Role::Follower : Role::Learner;
   ResetElection(state, aNow, aRandom);
   return state;
 }
--- a/src/consensus/reads.cpp
+++ b/src/consensus/reads.cpp
@@ -2,15 +2,16 @@
 
 #include <limits>
 
-// A leader that others have replaced without its knowledge holds an old state.
-// So it answers a read once a quorum has followed it in a round that began
-// after the read came. A round needs no entry in the log and no disk: a
-// follower promises nothing but that it knows no later leader at this moment.
+// Linearizable reads. A leader that has been replaced without noticing would
+// answer from stale state, so it answers a read only after a quorum has replied
+// in a round that began after the read was requested. A round needs no log
+// entry and no disk write: a follower only confirms that it knows of no later
+// term.
 namespace geraniumpond::consensus {
 
 namespace {
 
-std::uint64_t AnsweredRound(const State& aState) noexcept
+std::uint64_t ConfirmedRound(const State& aState) noexcept
 {
   return ReachedByQuorum(aState, aState.mRound, [](const Progress& aProgress) {
     return aProgress.mRound;
@@ -20,7 +21,7 @@
 void SendChecks(State& aState, Micros aNow, Output& aOut)
 {
   aState.mCheckRound = ++aState.mRound;
-  aState.mCheckedAt = aNow;
+  aState.mCheckSentAt = aNow;
   for (const wire::Member& member : aState.mMembership.members()) {
     if (!member.voter() || member.id() == aState.mId) {
       continue;
@@ -31,10 +32,10 @@
   }
 }
 
-bool ReadsWait(const State& aState) noexcept
+bool HasPendingReads(const State& aState) noexcept
 {
   return aState.mRole == Role::Leader && aState.mReadRound > 0 &&
-         aState.mReadRound > AnsweredRound(aState);
+         aState.mReadRound > ConfirmedRound(aState);
 }
 
 } // namespace
@@ -42,28 +43,28 @@
 std::uint64_t RequestRead(State& aState, Micros aNow, Output& aOut)
 {
   aState.mReadRound = aState.mRound + 1;
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
   return aState.mReadRound;
 }
 
 bool IsReadConfirmed(const State& aState, std::uint64_t aRound)
 {
   return IsLeader(aState) && IsCurrent(aState) &&
-         AnsweredRound(aState) >= aRound;
+         ConfirmedRound(aState) >= aRound;
 }
 
-// A check for each of many reads would keep a small leader from answering them.
+// A round for every single read would take most of a small leader's capacity.
 Micros NextCheckTime(const State& aState) noexcept
 {
   const bool wanted =
-    ReadsWait(aState) && AnsweredRound(aState) >= aState.mCheckRound;
-  return wanted ? aState.mCheckedAt + aState.mRules.mCheckPause
+    HasPendingReads(aState) && ConfirmedRound(aState) >= aState.mCheckRound;
+  return wanted ? aState.mCheckSentAt + aState.mOptions.mCheckInterval
                 : std::numeric_limits<Micros>::max();
 }
 
-void ContinueReads(State& aState, Micros aNow, Output& aOut)
+void SendChecksIfDue(State& aState, Micros aNow, Output& aOut)
 {
-  if (!ReadsWait(aState)) {
+  if (!HasPendingReads(aState)) {
     aState.mReadRound = 0;
   }
   if (aNow >= NextCheckTime(aState)) {
@@ -71,16 +72,16 @@
   }
 }
 
-void RepeatReads(State& aState, Micros aNow, Output& aOut)
+void ResendChecks(State& aState, Micros aNow, Output& aOut)
 {
-  if (ReadsWait(aState)) {
+  if (HasPendingReads(aState)) {
     SendChecks(aState, aNow, aOut);
   }
 }
 
-void TakeLeaderCheck(State& aState,
-                     const wire::ConsensusMessage& aMessage,
-                     Output& aOut)
+void HandleLeaderCheck(State& aState,
+                       const wire::ConsensusMessage& aMessage,
+                       Output& aOut)
 {
   wire::ConsensusMessage reply = NewMessage(aState, aMessage.from());
   reply.mutable_leader_check_reply()->set_round(
@@ -88,10 +89,10 @@
   Send(std::move(reply), aOut);
 }
 
-void TakeLeaderCheckReply(State& aState,
-                          Micros aNow,
-                          const wire::ConsensusMessage& aMessage,
-                          Output& aOut)
+void HandleLeaderCheckReply(State& aState,
+                            Micros aNow,
+                            const wire::ConsensusMessage& aMessage,
+                            Output& aOut)
 {
   const wire::Member* member = AnsweringMember(aState, aMessage);
   if (member == nullptr) {
@@ -100,7 +101,7 @@
   Progress& progress = aState.mProgress[member->id()];
   progress.mRound =
     std::max(progress.mRound, aMessage.leader_check_reply().round());
-  ContinueReads(aState, aNow, aOut);
+  SendChecksIfDue(aState, aNow, aOut);
 }
 
 } // namespace geraniumpond::consensus
--- a/src/core/text_delta.cpp
+++ b/src/core/text_delta.cpp
@@ -6,15 +6,15 @@
 
 namespace geraniumpond::text_delta {
 
-wire::TextDelta Between(const std::string& aBase, const std::string& aNext)
+wire::TextDelta MakeDelta(const std::string& aBase, const std::string& aNext)
 {
-  const std::size_t most = std::min(aBase.size(), aNext.size());
+  const std::size_t maxLength = std::min(aBase.size(), aNext.size());
   std::size_t prefix = 0;
-  while (prefix < most && aBase[prefix] == aNext[prefix]) {
+  while (prefix < maxLength && aBase[prefix] == aNext[prefix]) {
     ++prefix;
   }
   std::size_t suffix = 0;
-  while (suffix < most - prefix &&
+  while (suffix < maxLength - prefix &&
          aBase[aBase.size() - 1 - suffix] == aNext[aNext.size() - 1 - suffix]) {
     ++suffix;
   }
@@ -31,12 +31,14 @@
 {
   if (aDelta.prefix_bytes() > aBase.size() ||
       aDelta.suffix_bytes() > aBase.size() - aDelta.prefix_bytes()) {
-    return Fail(ErrorCode::Corrupt, "the delta is of another text");
+    return Fail(ErrorCode::Corrupt,
+                "the delta was made from another base text");
   }
   std::string next = aBase.substr(0, aDelta.prefix_bytes()) + aDelta.middle() +
                      aBase.substr(aBase.size() - aDelta.suffix_bytes());
   if (Hash64(next) != aDelta.digest()) {
-    return Fail(ErrorCode::Corrupt, "the delta is of another text");
+    return Fail(ErrorCode::Corrupt,
+                "the delta was made from another base text");
   }
   return next;
 }
--- a/src/dispatch/choice.cpp
+++ b/src/dispatch/choice.cpp
@@ -223,7 +223,7 @@
   const auto found = std::find_if(
     aCache.mFresh.begin(), aCache.mFresh.end(), [&](const Target* aTarget) {
       return aTarget->mLimit && !aTarget->mUnavailable &&
-             rate_share::IsUnused(aTarget->mShare, aNow) &&
+             rate_share::IsIdle(aTarget->mShare, aNow) &&
              aRequest.mTried.count(aTarget->mId) == 0 &&
              HasFreeSlot(*aTarget, aNow) &&
              aNow + ExpectedTime(*aTarget, aNeed, aNow) <=
--- a/src/dispatch/crashes.cpp
+++ b/src/dispatch/crashes.cpp
@@ -46,11 +46,11 @@
               Effects& aOut)
 {
   const quarantine::Verdict before =
-    quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow);
+    quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow);
   quarantine::Expire(aState.mQuarantine, aNow);
-  quarantine::NoteCrash(aState.mQuarantine, aIdentity, aCrash);
+  quarantine::RecordCrash(aState.mQuarantine, aIdentity, aCrash);
   const quarantine::Verdict after =
-    quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow);
+    quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow);
   if (after != before) {
     LogVerdict(aState, aIdentity, after, aOut);
   }
@@ -74,7 +74,7 @@
       aAt < found->second.mAnsweredAt + kAnswerReportInterval) {
     return;
   }
-  quarantine::NoteAnswer(aState.mQuarantine, aIdentity, aAt);
+  quarantine::RecordAnswer(aState.mQuarantine, aIdentity, aAt);
   aOut.emplace_back(SendFact{
     { gossip::Kind::RequestAnswered, Hexadecimal(aIdentity), "", aAt } });
 }
@@ -217,7 +217,7 @@
                   std::uint64_t aIdentity,
                   Effects& aOut)
 {
-  quarantine::RememberAnswer(aState.mQuarantine, aIdentity, aNow);
+  quarantine::TrackRecentAnswer(aState.mQuarantine, aIdentity, aNow);
   SendAnswerFact(aState, aIdentity, aNow, aOut);
 }
 
@@ -230,10 +230,10 @@
   if (found == aState.mQuarantine.mRecords.end()) {
     return quarantine::Verdict::Clear;
   }
-  return quarantine::Judge(aState.mQuarantine,
-                           aIdentity,
-                           aNow,
-                           RunningReleases(aState, aService, found->second));
+  return quarantine::Evaluate(aState.mQuarantine,
+                              aIdentity,
+                              aNow,
+                              RunningReleases(aState, aService, found->second));
 }
 
 void RenewQuarantine(State& aState,
@@ -242,7 +242,7 @@
                      Effects& aOut)
 {
   for (const quarantine::Crash& crash :
-       quarantine::Renew(aState.mQuarantine, aIdentity, aNow)) {
+       quarantine::RenewEvidence(aState.mQuarantine, aIdentity, aNow)) {
     aOut.emplace_back(SendFact{ CrashFact(aIdentity, crash) });
   }
 }
@@ -252,11 +252,11 @@
                     std::uint64_t aIdentity,
                     Effects& aOut)
 {
-  if (quarantine::JudgeAnyRelease(aState.mQuarantine, aIdentity, aNow) ==
+  if (quarantine::EvaluateAnyRelease(aState.mQuarantine, aIdentity, aNow) ==
       quarantine::Verdict::Clear) {
     return false;
   }
-  quarantine::NoteRelease(aState.mQuarantine, aIdentity, aNow);
+  quarantine::RecordRelease(aState.mQuarantine, aIdentity, aNow);
   Log(aOut, 2, "event=request_released identity=" + Hexadecimal(aIdentity));
   aOut.emplace_back(SendFact{ { gossip::Kind::RequestAnswered,
                                 Hexadecimal(aIdentity),
@@ -278,7 +278,7 @@
     aState,
     aNow,
     identity,
-    { aItem.mKey.substr(kIdentityDigits + 1), aItem.mValue, aItem.mSeenAt },
+    { aItem.mKey.substr(kIdentityDigits + 1), aItem.mValue, aItem.mObservedAt },
     aOut);
   const Micros answered = quarantine::LastAnswer(aState.mQuarantine, identity);
   if (answered != 0) {
@@ -290,9 +290,9 @@
 {
   const std::uint64_t identity = ReadIdentity(aItem.mKey);
   if (aItem.mValue == kReleasedValue) {
-    quarantine::NoteRelease(aState.mQuarantine, identity, aItem.mSeenAt);
+    quarantine::RecordRelease(aState.mQuarantine, identity, aItem.mObservedAt);
   } else {
-    quarantine::NoteAnswer(aState.mQuarantine, identity, aItem.mSeenAt);
+    quarantine::RecordAnswer(aState.mQuarantine, identity, aItem.mObservedAt);
   }
 }
 
--- a/src/dispatch/limits.cpp
+++ b/src/dispatch/limits.cpp
@@ -27,7 +27,7 @@
 {
   return " target=" + aTarget.mId + " service=" + aTarget.mService +
          " per_second=" + RateText(aTarget.mLimit.value_or(0)) +
-         " part=" + RateText(aTarget.mShare.mPart);
+         " part=" + RateText(aTarget.mShare.mRate);
 }
 
 void UpdateLimitedTargets(Service& aService, const Target& aTarget)
@@ -35,7 +35,7 @@
   auto& limited = aService.mLimitedTargets;
   limited.erase(std::remove(limited.begin(), limited.end(), aTarget.mId),
                 limited.end());
-  if (aTarget.mLimit && aTarget.mShare.mPart > 0) {
+  if (aTarget.mLimit && aTarget.mShare.mRate > 0) {
     limited.push_back(aTarget.mId);
   }
 }
@@ -45,7 +45,7 @@
   if (!aTarget.mLimit) {
     aTarget.mShare = rate_share::Share();
   } else if (!aState.mLimitHosts.mDigests.empty()) {
-    rate_share::Divide(
+    rate_share::UpdateShare(
       aTarget.mShare, aState.mLimitHosts, aTarget.mId, *aTarget.mLimit, aNow);
   }
   UpdateLimitedTargets(aState.mServices[aTarget.mService], aTarget);
@@ -133,10 +133,10 @@
   double perSecond = 0;
   const bool stated =
     std::from_chars(aItem.mValue.data(), end, perSecond).ec == std::errc();
-  if (aItem.mSeenAt <= target.mLimitAt) {
+  if (aItem.mObservedAt <= target.mLimitAt) {
     return;
   }
-  target.mLimitAt = aItem.mSeenAt;
+  target.mLimitAt = aItem.mObservedAt;
   if (stated && !IsAboutTheSame(target, perSecond)) {
     SetLimit(aState, aNow, target, perSecond, aOut);
   } else if (!stated && target.mLimit) {
@@ -156,12 +156,12 @@
 
 bool IsWithinLimit(const Target& aTarget, Micros aNow) noexcept
 {
-  return !aTarget.mLimit || rate_share::HasRoom(aTarget.mShare, aNow);
+  return !aTarget.mLimit || rate_share::CanSend(aTarget.mShare, aNow);
 }
 
 bool HasLimitShare(const Target& aTarget) noexcept
 {
-  return !aTarget.mLimit || aTarget.mShare.mPart > 0;
+  return !aTarget.mLimit || aTarget.mShare.mRate > 0;
 }
 
 bool NeedsLimitHosts(const State& aState) noexcept
--- a/src/dispatch/targets.cpp
+++ b/src/dispatch/targets.cpp
@@ -199,7 +199,7 @@
   // A service without rules uses the default health path.
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
-      service.mHealthPath = policy::ServiceRules().mHealthPath;
+      service.mHealthPath = policy::ServiceSettings().mHealthPath;
     }
     ScheduleFirstProbes(aState, aNow, service);
   }
@@ -241,7 +241,7 @@
   }
   for (auto& [name, service] : aState.mServices) {
     if (service.mHealthPath.empty()) {
-      service.mHealthPath = policy::ServiceRules().mHealthPath;
+      service.mHealthPath = policy::ServiceSettings().mHealthPath;
     }
     ChooseSubset(aState, service);
     ScheduleFirstProbes(aState, aNow, service);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -31,7 +31,7 @@
     catalog::Load(aState.mGroup.mSnapshot.state());
   if (!loaded) {
     aOut.mLogLines.push_back({ 3, "event=snapshot_unreadable" });
-    consensus::Failed(aState.mGroup);
+    consensus::MarkFailed(aState.mGroup);
     return;
   }
   aState.mCatalog = std::move(loaded.value());
@@ -117,12 +117,12 @@
       aRecovered,
       aNow,
       aRandom);
-    state.mGroup.mRules.mFirstDivisor = kFirstElectionDivisor;
+    state.mGroup.mOptions.mStartupDivisor = kFirstElectionDivisor;
     state.mGroup.mElectionAt =
       aNow + (state.mGroup.mElectionAt - aNow) / kFirstVoteDivisor;
-    state.mGroup.mRules.mBatchPause = kBatchPause;
-    state.mGroup.mRules.mSnapshotEvery = kSnapshotEntries;
-    state.mGroup.mRules.mRetained = kRetainedEntries;
+    state.mGroup.mOptions.mBatchInterval = kBatchPause;
+    state.mGroup.mOptions.mSnapshotInterval = kSnapshotEntries;
+    state.mGroup.mOptions.mRetainedEntries = kRetainedEntries;
     LoadRecovered(state, aOut);
     LogOpened(state, aOut);
   }
@@ -204,7 +204,7 @@
 void Synced(State& aState, Micros aNow, std::uint64_t aSequence, Output& aOut)
 {
   consensus::Output raft;
-  consensus::Synced(aState.mGroup, aSequence, raft);
+  consensus::MarkSynced(aState.mGroup, aSequence, raft);
   Perform(aState, aNow, std::move(raft), aOut);
   AnswerDeferredAskers(aState, aNow, aOut);
 }
@@ -284,7 +284,7 @@
     return aState.mCaughtUpAt;
   }
   return consensus::IsCurrent(aState.mGroup)
-           ? consensus::WordAt(aState.mGroup, aNow)
+           ? consensus::QuorumConfirmedAt(aState.mGroup, aNow)
            : 0;
 }
 
--- a/src/fleet/group.cpp
+++ b/src/fleet/group.cpp
@@ -53,7 +53,7 @@
   Result<catalog::State> loaded = catalog::Load(aSnapshot.state());
   if (!loaded) {
     aOut.mLogLines.push_back({ 3, "event=snapshot_unreadable" });
-    consensus::Failed(aState.mGroup);
+    consensus::MarkFailed(aState.mGroup);
     return;
   }
   aState.mCatalog = std::move(loaded.value());
@@ -116,7 +116,7 @@
 void TakeSnapshotIfDue(State& aState, Micros aNow, Output& aOut)
 {
   if (aState.mLogBytes < kSnapshotBytes &&
-      !consensus::WantsSnapshot(aState.mGroup)) {
+      !consensus::NeedsSnapshot(aState.mGroup)) {
     return;
   }
   aState.mLogBytes = 0;
@@ -201,7 +201,7 @@
   consensus::Receive(aState.mGroup, aNow, aRandom, aMessage, raft);
   if (aState.mGroup.mHeardLeaderAt == aNow &&
       consensus::IsCurrent(aState.mGroup)) {
-    aState.mCaughtUpAt = consensus::WordAt(aState.mGroup, aNow);
+    aState.mCaughtUpAt = consensus::QuorumConfirmedAt(aState.mGroup, aNow);
   }
   Perform(aState, aNow, std::move(raft), aOut);
 }
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -215,7 +215,7 @@
   const MemberView view = ViewOf(aState, aLearner, aNow);
   return view.mSilent <= kAnswerWindow && !view.mStopping && !view.mReplaced &&
          progress->second.mMatch + kCaughtUp >= group.mCommit &&
-         IsVoteUseful(aState, aNow, aLearner, progress->second.mKnownSince);
+         IsVoteUseful(aState, aNow, aLearner, progress->second.mTrackedSince);
 }
 
 // A replaced disk does not return; of silent hosts the one with the longest
@@ -372,7 +372,7 @@
     if (!member.voter() && CanBeDropped(view)) {
       ChangeMembers(aState,
                     aNow,
-                    consensus::Without(members, member.id()),
+                    consensus::WithoutMember(members, member.id()),
                     "forgotten member=" + member.id(),
                     aOut);
       return true;
@@ -508,7 +508,7 @@
     }
   }
   consensus::Output raft;
-  consensus::Transfer(aState.mGroup, aNow, raft, leaving);
+  consensus::TransferLeadership(aState.mGroup, aNow, raft, leaving);
   Perform(aState, aNow, std::move(raft), aOut);
 }
 
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -42,7 +42,7 @@
     *message.mutable_gossip() = std::move(gossip);
     SendTo(aState, address, std::move(message), aOut);
   }
-  for (gossip::Item& item : aGossip.mNews) {
+  for (gossip::Item& item : aGossip.mNewItems) {
     aOut.mReceivedFacts.push_back(std::move(item));
   }
 }
@@ -51,7 +51,7 @@
 
 void ShareFact(State& aState, Micros aNow, gossip::Item aItem, Output& aOut)
 {
-  if (gossip::Note(aState.mGossip, aNow, std::move(aItem))) {
+  if (gossip::Publish(aState.mGossip, aNow, std::move(aItem))) {
     GossipToNeighbours(aState, aNow, aOut);
   }
 }
--- a/src/fleet/submit.cpp
+++ b/src/fleet/submit.cpp
@@ -31,7 +31,7 @@
 bool IsCommitted(const State& aState, const wire::CatalogCommand& aCommand)
 {
   return aCommand.has_put_target() &&
-         !catalog::IsNews(aState.mCatalog, aCommand.put_target());
+         !catalog::ChangesState(aState.mCatalog, aCommand.put_target());
 }
 
 // Operators and leaving targets wait for the result with a time limit; a target
@@ -188,7 +188,7 @@
     done.mPolicy = aMessage.policy();
     aOut.mPolicyChanged =
       (!IsControlMember(aState) &&
-       catalog::TakePolicy(aState.mCatalog, aMessage.policy())) ||
+       catalog::ReplacePolicy(aState.mCatalog, aMessage.policy())) ||
       aOut.mPolicyChanged;
   }
   aOut.mDone.push_back(std::move(done));
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -6,26 +6,28 @@
 
 namespace {
 
-/// The number of hosts is taken over at this pace.
-constexpr Micros kCountInterval = 500 * kMillisecond;
-/// Hosts that start together have all been heard of by then: they report at a
-/// pace of 0.4 s, and a list goes over a few relays.
-constexpr Micros kLearnHosts = 3 * kSecond;
-/// Part of the stop's time that is left unused, for the process's own end.
+/// Interval at which the number of live hosts is updated.
+constexpr Micros kHostCountInterval = 500 * kMillisecond;
+/// Time after a start until all hosts that started together are known: they
+/// report every 0.4 s, and a host list passes through a few relays.
+constexpr Micros kHostDiscoveryTime = 3 * kSecond;
+/// Part of the stop grace period reserved for the process to exit.
 constexpr Micros kStopReserve = 800 * kMillisecond;
-/// The same while answers are still being sent: what is left then is lost.
+/// The same while answers are still being sent; whatever remains is cut off.
 constexpr Micros kSendingReserve = 300 * kMillisecond;
-/// How long after a start requests may wait for the first policy.
-constexpr Micros kPolicyExpected = 1 * kSecond;
+/// Time after a start during which requests may wait for the first policy.
+constexpr Micros kInitialPolicyWait = 1 * kSecond;
 
-void Append(Context& aContext, dispatch::Effects aEffects)
+void AppendEffects(Context& aContext, dispatch::Effects aEffects)
 {
   for (dispatch::Effect& effect : aEffects) {
-    if (auto* tell = std::get_if<dispatch::SendFact>(&effect)) {
+    if (auto* publish = std::get_if<dispatch::SendFact>(&effect)) {
       fleet::Output output;
-      fleet::ShareFact(
-        aContext.mState.mFleet, aContext.mNow, std::move(tell->mItem), output);
-      TakeFleet(aContext, std::move(output));
+      fleet::ShareFact(aContext.mState.mFleet,
+                       aContext.mNow,
+                       std::move(publish->mItem),
+                       output);
+      ApplyFleetOutput(aContext, std::move(output));
       continue;
     }
     std::visit(
@@ -39,11 +41,11 @@
   }
 }
 
-void TakePolicy(Context& aContext, fleet::Output& aFleet)
+void ApplyNewPolicy(Context& aContext, fleet::Output& aFleet)
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
-  if (catalog.mVersion == 0 || state.mHoldsPolicy) {
+  if (catalog.mVersion == 0 || state.mPolicyWithheld) {
     return;
   }
   Result<policy::TrafficPolicy> decoded =
@@ -76,32 +78,33 @@
 
 } // namespace
 
-void TakeFleet(Context& aContext, fleet::Output aFleet)
+void ApplyFleetOutput(Context& aContext, fleet::Output aFleet)
 {
   State& state = aContext.mState;
   if (aFleet.mPolicyChanged) {
-    TakePolicy(aContext, aFleet);
+    ApplyNewPolicy(aContext, aFleet);
   }
   if (aFleet.mTargetsChanged) {
     dispatch::Effects effects;
     dispatch::SetTargets(
       state.mDispatch, aContext.mNow, state.mFleet.mCatalog.mTargets, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   if (aFleet.mPolicyChanged) {
     dispatch::Effects effects;
     dispatch::AdmitUnrouted(state.mDispatch, aContext.mNow, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   for (const gossip::Item& item : aFleet.mReceivedFacts) {
     dispatch::Effects effects;
     dispatch::HandleFact(state.mDispatch, aContext.mNow, item, effects);
-    Append(aContext, std::move(effects));
+    AppendEffects(aContext, std::move(effects));
   }
   for (const fleet::LogLine& note : aFleet.mLogLines) {
     aContext.Log(note.mLevel, note.mText);
   }
-  // Writes come before messages: none of these promises what is not written.
+  // Writes come before messages, so that no message promises data that has not
+  // been written.
   for (consensus::Write& write : aFleet.mWrites) {
     aContext.mOut.emplace_back(Persist{ std::move(write) });
   }
@@ -109,32 +112,32 @@
     aContext.mOut.emplace_back(SendPeer{ address, std::move(message) });
   }
   for (const fleet::Completion& done : aFleet.mDone) {
-    EndOperation(aContext, done);
+    CompleteOperation(aContext, done);
   }
   AnswerReads(aContext);
 }
 
 namespace {
 
-// The disk may hold an older policy than the group has acknowledged, a log that
-// catches up goes through older ones, and so may what an upstream tells that
-// has just started itself: requests would be denied or run where they no longer
-// should, for as long as the group is away. One that is refused comes back,
-// mostly to another host.
-void ReleaseHeldPolicy(Context& aContext)
+// Until the control group has confirmed it, the policy may be outdated: it may
+// come from the disk, from a log that is still being replayed, or from an
+// upstream that has just started. Applying it would deny requests or route them
+// to the wrong targets for as long as the group is unreachable. A refused
+// request is retried, usually on another host.
+void ApplyWithheldPolicy(Context& aContext)
 {
   State& state = aContext.mState;
-  if (!state.mHoldsPolicy ||
+  if (!state.mPolicyWithheld ||
       !fleet::HasConfirmedCatalog(state.mFleet, aContext.mNow)) {
     return;
   }
-  state.mHoldsPolicy = false;
+  state.mPolicyWithheld = false;
   fleet::Output output;
   output.mPolicyChanged = true;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
-void TakeStop(Context& aContext)
+void HandleStop(Context& aContext)
 {
   State& state = aContext.mState;
   if (state.mStopping) {
@@ -147,20 +150,20 @@
                  std::to_string(dispatch::RunningRequests(state.mDispatch)));
   fleet::Output output;
   fleet::BeginStop(state.mFleet, aContext.mNow, output);
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
-// Clients come for as long as they may hold an answer with this host's
-// address; nothing that is in flight is cut before the time is up.
-Micros QuietFrom(const State& aState)
+// Clients keep sending requests for as long as they may have cached this host's
+// address. Requests in flight are not cut off before the exit deadline.
+Micros EarliestExit(const State& aState)
 {
   const Settings& settings = aState.mSettings;
-  const Micros held = settings.mAnswerKeep * settings.mAnswerKeepTimes;
+  const Micros cacheTime = settings.mAnswerKeep * settings.mAnswerKeepFactor;
   return aState.mStopAt +
-         std::min(held + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
+         std::min(cacheTime + 500 * kMillisecond, settings.mStopGrace * 3 / 4);
 }
 
-Micros LastMoment(const State& aState)
+Micros ExitDeadline(const State& aState)
 {
   return aState.mStopAt + aState.mSettings.mStopGrace -
          (aState.mSending ? kSendingReserve : kStopReserve);
@@ -172,12 +175,12 @@
   if (!state.mStopping || state.mExited) {
     return;
   }
-  // A request has ended for the reducer when its answer is handed over; a
-  // large one takes seconds on a slow link.
+  // For the reducer a request ends when its answer is handed over for sending;
+  // a large answer then takes seconds on a slow link.
   const bool idle = dispatch::RunningRequests(state.mDispatch) == 0 &&
                     state.mOperations.empty() && !state.mSending;
-  if ((aContext.mNow >= QuietFrom(state) && idle) ||
-      aContext.mNow >= LastMoment(state)) {
+  if ((aContext.mNow >= EarliestExit(state) && idle) ||
+      aContext.mNow >= ExitDeadline(state)) {
     state.mExited = true;
     aContext.Log(1,
                  "event=stopped requests_cut=" +
@@ -187,9 +190,9 @@
   }
 }
 
-// Limits of targets, and trials of requests, are divided among the hosts that
-// take clients.
-void CountSharers(Context& aContext)
+// The limits of targets and the trials of suspected requests are divided among
+// the hosts that accept clients.
+void UpdateSharers(Context& aContext)
 {
   State& state = aContext.mState;
   rate_share::Members sharers;
@@ -205,40 +208,41 @@
   dispatch::SetLimitHosts(state.mDispatch, aContext.mNow, std::move(sharers));
 }
 
-// Bounds that all hosts share hold over a window: within one the largest number
-// counts, so that hosts which are lost for a moment, or out of sight, do not
-// make the others take their shares.
-void CountHosts(Context& aContext)
+// Shared bounds apply over a window. The largest host count within the window
+// is used, so that hosts which are briefly down or unreachable do not make the
+// others take over their shares.
+void UpdateHostCount(Context& aContext)
 {
   State& state = aContext.mState;
-  if (aContext.mNow < state.mHostsCountedAt + kCountInterval) {
+  if (aContext.mNow < state.mHostCountUpdatedAt + kHostCountInterval) {
     return;
   }
-  state.mHostsCountedAt = aContext.mNow;
-  state.mDispatch.mKnowsHosts = aContext.mNow >= state.mStartedAt + kLearnHosts;
-  CountSharers(aContext);
+  state.mHostCountUpdatedAt = aContext.mNow;
+  state.mDispatch.mKnowsHosts =
+    aContext.mNow >= state.mStartedAt + kHostDiscoveryTime;
+  UpdateSharers(aContext);
   const int hosts = fleet::LiveHostCount(state.mFleet, aContext.mNow);
   const Micros window = state.mSettings.mBounds.mExtraWindow;
   if (hosts >= state.mDispatch.mHosts) {
-    state.mMostHostsAt = aContext.mNow;
+    state.mPeakHostsAt = aContext.mNow;
   }
-  const bool old = aContext.mNow - state.mMostHostsAt > window;
+  const bool old = aContext.mNow - state.mPeakHostsAt > window;
   if (hosts > state.mDispatch.mHosts || old) {
-    state.mMostHostsAt = aContext.mNow;
+    state.mPeakHostsAt = aContext.mNow;
     dispatch::SetHosts(state.mDispatch, aContext.mNow, hosts);
   }
 }
 
-void TakeTime(Context& aContext, std::uint64_t aRandom)
+void HandleTimePassed(Context& aContext, std::uint64_t aRandom)
 {
   State& state = aContext.mState;
   dispatch::Effects effects;
   dispatch::Tick(state.mDispatch, aContext.mNow, effects);
-  Append(aContext, std::move(effects));
+  AppendEffects(aContext, std::move(effects));
   fleet::Output output;
   fleet::Tick(state.mFleet, aContext.mNow, aRandom, output);
-  TakeFleet(aContext, std::move(output));
-  CountHosts(aContext);
+  ApplyFleetOutput(aContext, std::move(output));
+  UpdateHostCount(aContext);
 }
 
 template<class Function>
@@ -246,11 +250,11 @@
 {
   dispatch::Effects effects;
   aFunction(effects);
-  Append(aContext, std::move(effects));
+  AppendEffects(aContext, std::move(effects));
 }
 
-/// \brief Takes each kind of event.
-struct Taker
+/// \brief Visitor that processes each kind of event.
+struct EventHandler
 {
   Context& mContext;
   std::uint64_t mRandom;
@@ -258,21 +262,21 @@
   void operator()(const TimePassed& aEvent)
   {
     mContext.mState.mSending = aEvent.mSending;
-    TakeTime(mContext, mRandom);
+    HandleTimePassed(mContext, mRandom);
   }
   void operator()(const PeerMessage& aEvent)
   {
     fleet::Output output;
     fleet::Receive(
       mContext.mState.mFleet, mContext.mNow, mRandom, aEvent.mMessage, output);
-    TakeFleet(mContext, std::move(output));
+    ApplyFleetOutput(mContext, std::move(output));
   }
   void operator()(const DiskSynced& aEvent)
   {
     fleet::Output output;
     fleet::Synced(
       mContext.mState.mFleet, mContext.mNow, aEvent.mSequence, output);
-    TakeFleet(mContext, std::move(output));
+    ApplyFleetOutput(mContext, std::move(output));
   }
   void operator()(const dispatch::Arrival& aEvent)
   {
@@ -305,25 +309,31 @@
         mContext.mState.mDispatch, mContext.mNow, aEvent.mRequest, aOut);
     });
   }
-  void operator()(const Announce& aEvent) { TakeAnnounce(mContext, aEvent); }
-  void operator()(const Withdraw& aEvent) { TakeWithdraw(mContext, aEvent); }
-  void operator()(const PutPolicy& aEvent) { TakePutPolicy(mContext, aEvent); }
+  void operator()(const Announce& aEvent) { HandleAnnounce(mContext, aEvent); }
+  void operator()(const Withdraw& aEvent) { HandleWithdraw(mContext, aEvent); }
+  void operator()(const PutPolicy& aEvent)
+  {
+    HandlePutPolicy(mContext, aEvent);
+  }
   void operator()(const ReadPolicy& aEvent)
   {
-    TakeReadPolicy(mContext, aEvent);
+    HandleReadPolicy(mContext, aEvent);
   }
   void operator()(const ReleaseRequest& aEvent)
   {
-    AnswerOperation answer{ aEvent.mOperation, OperationEnd::Done, "", "", "" };
+    AnswerOperation answer{
+      aEvent.mOperation, OperationOutcome::Done, "", "", ""
+    };
     Dispatch(mContext, [&](dispatch::Effects& aOut) {
       const bool released = dispatch::ReleaseRequest(
         mContext.mState.mDispatch, mContext.mNow, aEvent.mIdentity, aOut);
-      answer.mEnd = released ? OperationEnd::Done : OperationEnd::Invalid;
+      answer.mEnd =
+        released ? OperationOutcome::Done : OperationOutcome::Invalid;
       answer.mReason = released ? "" : "no such request is suspected";
     });
     mContext.mOut.emplace_back(std::move(answer));
   }
-  void operator()(const StopRequested&) { TakeStop(mContext); }
+  void operator()(const StopRequested&) { HandleStop(mContext); }
 };
 
 } // namespace
@@ -343,14 +353,14 @@
   state.mDispatch.mRandom = aRandom | 1;
   state.mDispatch.mKnowsHosts = false;
   state.mStartedAt = aNow;
-  state.mDispatch.mPolicyExpectedUntil = aNow + kPolicyExpected;
+  state.mDispatch.mPolicyExpectedUntil = aNow + kInitialPolicyWait;
   state.mShuffle.seed(aRandom);
   fleet::Output output;
   state.mFleet =
     fleet::Open(aSettings.mFleet, aRecovered, aNow, aRandom, output);
   Context context{ state, aNow, aOut };
-  state.mHoldsPolicy = true;
-  TakeFleet(context, std::move(output));
+  state.mPolicyWithheld = true;
+  ApplyFleetOutput(context, std::move(output));
   return state;
 }
 
@@ -358,8 +368,8 @@
 {
   Effects effects;
   Context context{ aState, aEvent.mNow, effects };
-  std::visit(Taker{ context, aEvent.mRandom }, aEvent.mBody);
-  ReleaseHeldPolicy(context);
+  std::visit(EventHandler{ context, aEvent.mRandom }, aEvent.mBody);
+  ApplyWithheldPolicy(context);
   ContinueStop(context);
   return effects;
 }
@@ -372,7 +382,7 @@
     next = std::min(next, read.mGiveUpAt);
   }
   if (aState.mStopping) {
-    next = std::min(next, LastMoment(aState));
+    next = std::min(next, ExitDeadline(aState));
   }
   return next;
 }
--- a/src/gateway/operations.cpp
+++ b/src/gateway/operations.cpp
@@ -4,24 +4,24 @@
 #include <limits>
 #include <optional>
 
-// Calls of targets and operators: each becomes a command for the control group,
-// and is answered when that has ended.
+// Calls from targets and operators: each is submitted to the control group as a
+// command and answered when the command completes.
 namespace geraniumpond::gateway {
 
 namespace {
 
-/// Callers move on to another host after a second without an answer; an answer
-/// of ours comes before.
-constexpr Micros kOperationPatience = 850 * kMillisecond;
+/// Callers try another host after one second without an answer, so this host
+/// answers before that.
+constexpr Micros kOperationTimeout = 850 * kMillisecond;
 
-constexpr std::array<const char*, 5> kEndNames = {
+constexpr std::array<const char*, 5> kOutcomeNames = {
   "done", "invalid", "conflict", "unavailable", "elsewhere",
 };
 
 void Answer(Context& aContext, AnswerOperation aAnswer, const char* aWhat)
 {
-  const bool good = aAnswer.mEnd == OperationEnd::Done ||
-                    aAnswer.mEnd == OperationEnd::Elsewhere;
+  const bool good = aAnswer.mEnd == OperationOutcome::Done ||
+                    aAnswer.mEnd == OperationOutcome::Elsewhere;
   aContext.Log(
     good ? 1 : 2,
     std::string("event=") + aWhat + " outcome=" + ToString(aAnswer.mEnd) +
@@ -42,16 +42,16 @@
   return names[static_cast<std::size_t>(aKind)];
 }
 
-void SubmitFor(Context& aContext,
-               const Operation& aOperation,
-               const wire::CatalogCommand& aCommand)
+void SubmitCommand(Context& aContext,
+                   const Operation& aOperation,
+                   const wire::CatalogCommand& aCommand)
 {
   State& state = aContext.mState;
   fleet::Output output;
   const std::uint64_t id = fleet::Submit(
-    state.mFleet, aContext.mNow, aCommand, kOperationPatience, output);
+    state.mFleet, aContext.mNow, aCommand, kOperationTimeout, output);
   state.mOperations[id] = aOperation;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
 std::string Describe(const fleet::ReadTrace& aRead,
@@ -67,16 +67,16 @@
          (age ? std::to_string(*age / kMillisecond) : std::string("none"));
 }
 
-// The leader's word on what is the newest policy; where it is here already, or
-// came along, the read ends with it.
-void EndRead(Context& aContext,
-             const Operation& aOperation,
-             const fleet::Completion& aDone)
+// The outcome carries the leader's policy version. The read completes now if
+// this host has that version or the leader sent the policy along.
+void CompleteRead(Context& aContext,
+                  const Operation& aOperation,
+                  const fleet::Completion& aDone)
 {
   State& state = aContext.mState;
   const catalog::State& catalog = state.mFleet.mCatalog;
   AnswerOperation answer{
-    aOperation.mId, OperationEnd::Unavailable, "", "", ""
+    aOperation.mId, OperationOutcome::Unavailable, "", "", ""
   };
   answer.mReason = Describe(aDone.mRead, state, aContext.mNow);
   const std::uint64_t version = aDone.mOutcome.version();
@@ -86,19 +86,19 @@
   } else if (version == 0) {
     answer.mReason += ", no policy yet";
   } else if (aOperation.mElsewhere && !aDone.mRead.mLeader.empty()) {
-    answer.mEnd = OperationEnd::Elsewhere;
+    answer.mEnd = OperationOutcome::Elsewhere;
     answer.mElsewhere = aDone.mRead.mLeader;
   } else if (catalog.mVersion >= version) {
-    answer.mEnd = OperationEnd::Done;
+    answer.mEnd = OperationOutcome::Done;
     answer.mDocument = catalog.mDocument;
   } else if (!aDone.mPolicy) {
-    // A leader of an earlier version names itself to nobody and sends no policy
-    // along.
+    // A leader that runs an earlier release neither gives its address nor sends
+    // the policy.
     state.mReads.push_back({ aOperation.mId, version, aDone.mRead.mGiveUpAt });
     return;
   } else if (Result<std::string> document =
-               catalog::DocumentOf(*aDone.mPolicy)) {
-    answer.mEnd = OperationEnd::Done;
+               catalog::UnpackDocument(*aDone.mPolicy)) {
+    answer.mEnd = OperationOutcome::Done;
     answer.mDocument = std::move(document.value());
   } else {
     answer.mReason += ", " + document.error().mMessage;
@@ -108,12 +108,12 @@
 
 } // namespace
 
-const char* ToString(OperationEnd aEnd) noexcept
+const char* ToString(OperationOutcome aEnd) noexcept
 {
-  return kEndNames[static_cast<std::size_t>(aEnd)];
+  return kOutcomeNames[static_cast<std::size_t>(aEnd)];
 }
 
-void EndOperation(Context& aContext, const fleet::Completion& aDone)
+void CompleteOperation(Context& aContext, const fleet::Completion& aDone)
 {
   State& state = aContext.mState;
   const auto found = state.mOperations.find(aDone.mId);
@@ -124,17 +124,17 @@
   state.mOperations.erase(found);
   const bool committed = aDone.mEnd == fleet::SubmitResult::Committed;
   if (operation.mKind == OperationKind::ReadPolicy) {
-    EndRead(aContext, operation, aDone);
+    CompleteRead(aContext, operation, aDone);
     return;
   }
-  AnswerOperation answer{ operation.mId, OperationEnd::Done, "", "", "" };
+  AnswerOperation answer{ operation.mId, OperationOutcome::Done, "", "", "" };
   answer.mReason = operation.mSubject + " ";
   if (!committed) {
-    answer.mEnd = OperationEnd::Unavailable;
+    answer.mEnd = OperationOutcome::Unavailable;
     answer.mReason += aDone.mReason;
   } else {
-    answer.mEnd =
-      aDone.mOutcome.accepted() ? OperationEnd::Done : OperationEnd::Conflict;
+    answer.mEnd = aDone.mOutcome.accepted() ? OperationOutcome::Done
+                                            : OperationOutcome::Conflict;
     answer.mReason += aDone.mOutcome.reason();
   }
   Answer(aContext, std::move(answer), NameOf(operation.mKind));
@@ -150,9 +150,11 @@
       ++it;
       continue;
     }
-    AnswerOperation answer{ it->mOperation, OperationEnd::Done, "", "", "" };
+    AnswerOperation answer{
+      it->mOperation, OperationOutcome::Done, "", "", ""
+    };
     if (!current || catalog.mVersion == 0) {
-      answer.mEnd = OperationEnd::Unavailable;
+      answer.mEnd = OperationOutcome::Unavailable;
       answer.mReason = current ? "no policy yet" : "behind the group";
     } else {
       answer.mDocument = catalog.mDocument;
@@ -162,13 +164,13 @@
   }
 }
 
-void TakeAnnounce(Context& aContext, const Announce& aCall)
+void HandleAnnounce(Context& aContext, const Announce& aCall)
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
-  if (!catalog::IsNews(catalog, aCall.mRecord)) {
-    // Renewals of what every host knows are not worth a line each.
+  if (!catalog::ChangesState(catalog, aCall.mRecord)) {
+    // Renewals that change nothing are not logged.
     aContext.mOut.emplace_back(
-      AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
+      AnswerOperation{ aCall.mOperation, OperationOutcome::Done, "", "", "" });
     return;
   }
   wire::CatalogCommand command;
@@ -177,39 +179,43 @@
     "target=" + aCall.mRecord.id() +
     " sequence=" + std::to_string(aCall.mRecord.sequence()) +
     (aCall.mRecord.draining() ? " draining" : " ready");
-  SubmitFor(
+  SubmitCommand(
     aContext, { aCall.mOperation, OperationKind::Announce, subject }, command);
 }
 
-void TakeWithdraw(Context& aContext, const Withdraw& aCall)
+void HandleWithdraw(Context& aContext, const Withdraw& aCall)
 {
   const catalog::State& catalog = aContext.mState.mFleet.mCatalog;
   const wire::RemoveTarget& removal = aCall.mRemoval;
   if (catalog::IsRemoved(catalog, removal.id(), removal.born_ms())) {
     aContext.mOut.emplace_back(
-      AnswerOperation{ aCall.mOperation, OperationEnd::Done, "", "", "" });
+      AnswerOperation{ aCall.mOperation, OperationOutcome::Done, "", "", "" });
     return;
   }
-  // Whoever tells its birth says which incarnation leaves: a removal without
-  // it comes from elsewhere, and acknowledging it would bind every host.
+  // The birth time identifies the incarnation that leaves. A removal without it
+  // does not come from a target that announced one, and accepting it would
+  // remove the target on every host.
   const auto known = catalog.mTargets.find(removal.id());
   if (known != catalog.mTargets.end() && removal.born_ms() == 0 &&
       known->second.born_ms() != 0) {
-    Answer(
-      aContext,
-      { aCall.mOperation, OperationEnd::Invalid, "no time of birth", "", "" },
-      NameOf(OperationKind::Withdraw));
+    Answer(aContext,
+           { aCall.mOperation,
+             OperationOutcome::Invalid,
+             "no time of birth",
+             "",
+             "" },
+           NameOf(OperationKind::Withdraw));
     return;
   }
   wire::CatalogCommand command;
   *command.mutable_remove_target() = removal;
-  SubmitFor(
+  SubmitCommand(
     aContext,
     { aCall.mOperation, OperationKind::Withdraw, "target=" + removal.id() },
     command);
 }
 
-void TakePutPolicy(Context& aContext, const PutPolicy& aCall)
+void HandlePutPolicy(Context& aContext, const PutPolicy& aCall)
 {
   State& state = aContext.mState;
   const Result<policy::TrafficPolicy> decoded =
@@ -218,33 +224,33 @@
   if (!decoded) {
     fault = decoded.error().mMessage;
   } else {
-    const std::vector<std::string> faults = policy::FaultsOf(decoded.value());
+    const std::vector<std::string> faults = policy::Validate(decoded.value());
     fault = faults.empty() ? "" : faults.front();
   }
   if (!fault.empty()) {
     Answer(aContext,
-           { aCall.mOperation, OperationEnd::Invalid, fault, "", "" },
+           { aCall.mOperation, OperationOutcome::Invalid, fault, "", "" },
            NameOf(OperationKind::PutPolicy));
     return;
   }
   wire::CatalogCommand command;
-  const wire::PutPolicy change = catalog::MakeChange(
+  const wire::PutPolicy change = catalog::MakePolicyChange(
     decoded.value().mVersion, decoded.value().mBaseVersion, aCall.mDocument);
   *command.mutable_put_policy() = change;
-  SubmitFor(aContext,
-            { aCall.mOperation,
-              OperationKind::PutPolicy,
-              "version=" + std::to_string(change.version()) +
-                " base=" + std::to_string(change.base_version()) },
-            command);
+  SubmitCommand(aContext,
+                { aCall.mOperation,
+                  OperationKind::PutPolicy,
+                  "version=" + std::to_string(change.version()) +
+                    " base=" + std::to_string(change.base_version()) },
+                command);
 }
 
-void TakeReadPolicy(Context& aContext, const ReadPolicy& aCall)
+void HandleReadPolicy(Context& aContext, const ReadPolicy& aCall)
 {
   State& state = aContext.mState;
   Operation operation{ aCall.mOperation, OperationKind::ReadPolicy, "" };
   operation.mElsewhere =
-    aCall.mMayBeSentOn && !PolicyReader(state, aContext.mNow).empty();
+    aCall.mFollowsRedirect && !PolicyRedirect(state, aContext.mNow).empty();
   const std::uint64_t known = operation.mElsewhere
                                 ? std::numeric_limits<std::uint64_t>::max()
                                 : state.mFleet.mCatalog.mVersion;
@@ -252,7 +258,7 @@
   const std::uint64_t id =
     fleet::Read(state.mFleet, aContext.mNow, known, output);
   state.mOperations[id] = operation;
-  TakeFleet(aContext, std::move(output));
+  ApplyFleetOutput(aContext, std::move(output));
 }
 
 } // namespace geraniumpond::gateway
--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-/// Pause between two messages to one neighbour: facts come in bursts.
-constexpr Micros kSendPause = 20 * kMillisecond;
-/// A message without an acknowledgement is sent again after this time, which
-/// doubles up to the second one.
+/// Minimum interval between messages to one neighbour; facts arrive in bursts.
+constexpr Micros kSendInterval = 20 * kMillisecond;
+/// Resend interval of an unacknowledged message; it doubles from the minimum to
+/// the maximum.
 constexpr Micros kResendMin = 300 * kMillisecond;
 constexpr Micros kResendMax = 5 * kSecond;
-constexpr int kMostItems = 128;
+constexpr int kMaxItemsPerMessage = 128;
 constexpr Micros kExpireInterval = 1 * kSecond;
 
-constexpr std::array<KindRules, kKinds> kRules = {
-  KindRules{ "request_crash", 600 * kSecond, 30 * kSecond, 1024 },
-  KindRules{ "request_answered", 600 * kSecond, 3 * kSecond, 1024 },
-  KindRules{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
+constexpr std::array<KindLimits, kKindCount> kKindLimits = {
+  KindLimits{ "request_crash", 600 * kSecond, 30 * kSecond, 1024 },
+  KindLimits{ "request_answered", 600 * kSecond, 3 * kSecond, 1024 },
+  KindLimits{ "target_limit", 600 * kSecond, 60 * kSecond, 4096 },
 };
 
-void Remove(State& aState, const ItemKey& aKey)
+void RemoveEntry(State& aState, const ItemKey& aKey)
 {
   const auto found = aState.mEntries.find(aKey);
   aState.mBySequence.erase(found->second.mSequence);
@@ -35,40 +35,41 @@
   const ItemKey* oldest = nullptr;
   Micros seenAt = std::numeric_limits<Micros>::max();
   for (const auto& [key, entry] : aState.mEntries) {
-    if (key.first == aKind && entry.mItem.mSeenAt < seenAt) {
+    if (key.first == aKind && entry.mItem.mObservedAt < seenAt) {
       oldest = &key;
-      seenAt = entry.mItem.mSeenAt;
+      seenAt = entry.mItem.mObservedAt;
     }
   }
   if (oldest != nullptr) {
     ++aState.mDropped;
-    Remove(aState, ItemKey(*oldest));
+    RemoveEntry(aState, ItemKey(*oldest));
   }
 }
 
-bool IsNews(const State& aState, const Item& aItem)
+bool IsNew(const State& aState, const Item& aItem)
 {
   const auto found = aState.mEntries.find({ aItem.mKind, aItem.mKey });
   if (found == aState.mEntries.end()) {
     return true;
   }
   const Item& known = found->second.mItem;
-  const Micros later = aItem.mSeenAt - known.mSeenAt;
-  return aItem.mValue == known.mValue ? later > RulesOf(aItem.mKind).mRefresh
-                                      : later > 0;
+  const Micros later = aItem.mObservedAt - known.mObservedAt;
+  return aItem.mValue == known.mValue
+           ? later > KindLimitsOf(aItem.mKind).mRefresh
+           : later > 0;
 }
 
-bool Take(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
+bool Merge(State& aState, Micros aNow, Item aItem, const std::string& aFrom)
 {
-  const KindRules& rules = RulesOf(aItem.mKind);
-  if (aNow - aItem.mSeenAt > rules.mLifetime || !IsNews(aState, aItem)) {
+  const KindLimits& limits = KindLimitsOf(aItem.mKind);
+  if (aNow - aItem.mObservedAt > limits.mLifetime || !IsNew(aState, aItem)) {
     return false;
   }
   const ItemKey key(aItem.mKind, aItem.mKey);
   if (aState.mEntries.count(key) != 0) {
-    Remove(aState, key);
+    RemoveEntry(aState, key);
   } else if (aState.mCounts[static_cast<std::size_t>(aItem.mKind)] >=
-             rules.mMost) {
+             limits.mMaxItems) {
     DropOldest(aState, aItem.mKind);
   }
   const std::uint64_t sequence = ++aState.mSequence;
@@ -85,7 +86,7 @@
   item.set_key(aItem.mKey);
   item.set_value(aItem.mValue);
   item.set_age_ms(static_cast<std::uint32_t>(
-    std::max<Micros>(0, aNow - aItem.mSeenAt) / kMillisecond));
+    std::max<Micros>(0, aNow - aItem.mObservedAt) / kMillisecond));
   return item;
 }
 
@@ -97,11 +98,11 @@
            aNow - static_cast<Micros>(aItem.age_ms()) * kMillisecond };
 }
 
-// What a neighbour told needs no way back.
-wire::Gossip WhatItLacks(const State& aState,
-                         const std::string& aNeighbour,
-                         const Link& aLink,
-                         Micros aNow)
+// The next message for a neighbour; leaves out facts that it sent itself.
+wire::Gossip NextUpdate(const State& aState,
+                        const std::string& aNeighbour,
+                        const Link& aLink,
+                        Micros aNow)
 {
   wire::Gossip message;
   message.set_sender(aState.mIncarnation);
@@ -114,7 +115,7 @@
       continue;
     }
     *message.add_items() = ToWire(entry.mItem, aNow);
-    if (message.items_size() == kMostItems) {
+    if (message.items_size() == kMaxItemsPerMessage) {
       message.set_up_to(it->first);
       break;
     }
@@ -122,38 +123,39 @@
   return message;
 }
 
-bool IsTold(const State& aState, const Link& aLink)
+bool IsUpToDate(const State& aState, const Link& aLink)
 {
   return aLink.mAcknowledged >= aState.mSequence;
 }
 
-void Tell(State& aState,
-          Micros aNow,
-          const std::string& aNeighbour,
-          Link& aLink,
-          Output& aOut)
+void SendUpdate(State& aState,
+                Micros aNow,
+                const std::string& aNeighbour,
+                Link& aLink,
+                Output& aOut)
 {
-  if (IsTold(aState, aLink) || aNow < aLink.mSendAt) {
+  if (IsUpToDate(aState, aLink) || aNow < aLink.mSendAt) {
     return;
   }
-  wire::Gossip message = WhatItLacks(aState, aNeighbour, aLink, aNow);
+  wire::Gossip message = NextUpdate(aState, aNeighbour, aLink, aNow);
   if (message.items_size() == 0) {
     aLink.mAcknowledged = message.up_to();
     return;
   }
-  const bool again = aLink.mUnderWay != 0;
-  aLink.mPause =
-    again ? std::min(kResendMax, 2 * aLink.mPause) : Micros(kResendMin);
-  aLink.mUnderWay = message.up_to();
-  aLink.mSendAt = aNow + aLink.mPause;
+  const bool resend = aLink.mInFlight != 0;
+  aLink.mResendInterval = resend
+                            ? std::min(kResendMax, 2 * aLink.mResendInterval)
+                            : Micros(kResendMin);
+  aLink.mInFlight = message.up_to();
+  aLink.mSendAt = aNow + aLink.mResendInterval;
   ++aState.mMessagesSent;
   aOut.mMessages.emplace_back(aNeighbour, std::move(message));
 }
 
-void TakeAcknowledgement(State& aState,
-                         Micros aNow,
-                         const std::string& aFrom,
-                         const wire::Gossip& aMessage)
+void HandleAcknowledgement(State& aState,
+                           Micros aNow,
+                           const std::string& aFrom,
+                           const wire::Gossip& aMessage)
 {
   const auto link = aState.mLinks.find(aFrom);
   if (link == aState.mLinks.end() ||
@@ -163,14 +165,14 @@
   }
   Link& known = link->second;
   known.mAcknowledged = std::max(known.mAcknowledged, aMessage.taken_up_to());
-  if (known.mAcknowledged >= known.mUnderWay) {
-    known.mUnderWay = 0;
-    known.mSendAt = std::min(known.mSendAt, aNow + kSendPause);
+  if (known.mAcknowledged >= known.mInFlight) {
+    known.mInFlight = 0;
+    known.mSendAt = std::min(known.mSendAt, aNow + kSendInterval);
   }
 }
 
-// What it told in an earlier life it has forgotten.
-void ForgetSource(State& aState, const std::string& aNeighbour)
+// A restarted neighbour has lost the facts it sent, so they must be sent back.
+void ClearSource(State& aState, const std::string& aNeighbour)
 {
   for (auto& [key, entry] : aState.mEntries) {
     if (entry.mFrom == aNeighbour) {
@@ -185,27 +187,27 @@
     return;
   }
   aState.mExpireAt = aNow + kExpireInterval;
-  std::vector<ItemKey> old;
+  std::vector<ItemKey> expired;
   for (const auto& [key, entry] : aState.mEntries) {
-    if (aNow - entry.mItem.mSeenAt > RulesOf(key.first).mLifetime) {
-      old.push_back(key);
+    if (aNow - entry.mItem.mObservedAt > KindLimitsOf(key.first).mLifetime) {
+      expired.push_back(key);
     }
   }
-  for (const ItemKey& key : old) {
-    Remove(aState, key);
+  for (const ItemKey& key : expired) {
+    RemoveEntry(aState, key);
   }
 }
 
 } // namespace
 
-const KindRules& RulesOf(Kind aKind) noexcept
+const KindLimits& KindLimitsOf(Kind aKind) noexcept
 {
-  return kRules[static_cast<std::size_t>(aKind)];
+  return kKindLimits[static_cast<std::size_t>(aKind)];
 }
 
-bool Note(State& aState, Micros aNow, Item aItem)
+bool Publish(State& aState, Micros aNow, Item aItem)
 {
-  return Take(aState, aNow, std::move(aItem), "");
+  return Merge(aState, aNow, std::move(aItem), "");
 }
 
 void SetNeighbours(State& aState,
@@ -220,7 +222,7 @@
     if (link.mIncarnation != incarnation) {
       link = Link();
       link.mIncarnation = incarnation;
-      ForgetSource(aState, address);
+      ClearSource(aState, address);
     }
   }
 }
@@ -231,18 +233,18 @@
              const wire::Gossip& aMessage,
              Output& aOut)
 {
-  TakeAcknowledgement(aState, aNow, aFrom, aMessage);
+  HandleAcknowledgement(aState, aNow, aFrom, aMessage);
   if (aMessage.items_size() == 0) {
     return;
   }
   for (const wire::GossipItem& item : aMessage.items()) {
-    // Hosts of a later version may tell of more kinds.
-    if (item.kind() >= kKinds) {
+    // Hosts that run a later version may send kinds unknown to this one.
+    if (item.kind() >= kKindCount) {
       continue;
     }
-    Item told = FromWire(item, aNow);
-    if (Take(aState, aNow, told, aFrom)) {
-      aOut.mNews.push_back(std::move(told));
+    Item received = FromWire(item, aNow);
+    if (Merge(aState, aNow, received, aFrom)) {
+      aOut.mNewItems.push_back(std::move(received));
     }
   }
   wire::Gossip reply;
@@ -255,7 +257,7 @@
 {
   Expire(aState, aNow);
   for (auto& [address, link] : aState.mLinks) {
-    Tell(aState, aNow, address, link, aOut);
+    SendUpdate(aState, aNow, address, link, aOut);
   }
 }
 
@@ -266,7 +268,7 @@
   }
   Micros next = aState.mExpireAt;
   for (const auto& [address, link] : aState.mLinks) {
-    if (!IsTold(aState, link)) {
+    if (!IsUpToDate(aState, link)) {
       next = std::min(next, link.mSendAt);
     }
   }
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// Different targets that end under a quarantined request: one or two may be
-/// the bad luck of a request and its second attempt.
-constexpr int kCrashes = 3;
-constexpr Micros kLifetime = 600 * kSecond;
-/// A crash so soon after an answer does not count: long beside the time in
-/// which hosts hear of each other's answers.
-constexpr Micros kAnswerCounts = 10 * kSecond;
-/// Evidence is renewed by tries after this time.
-constexpr Micros kRenewPace = 60 * kSecond;
-constexpr std::size_t kMostRecords = 1024;
-constexpr std::size_t kMostAnswers = 4096;
-constexpr std::size_t kMostCrashes = 16;
+/// Number of different targets whose crashes quarantine a request. One or two
+/// may be a coincidence that hits a request and its retry.
+constexpr int kQuarantineCrashes = 3;
+constexpr Micros kEvidenceLifetime = 600 * kSecond;
+/// A crash within this time after an answer does not count. It is long compared
+/// to the time in which hosts learn of each other's answers.
+constexpr Micros kAnswerWindow = 10 * kSecond;
+/// Minimum age at which refused requests renew their evidence.
+constexpr Micros kRenewInterval = 60 * kSecond;
+constexpr std::size_t kMaxRecords = 1024;
+constexpr std::size_t kMaxRecentAnswers = 4096;
+constexpr std::size_t kMaxCrashes = 16;
 
 constexpr std::array<const char*, 4> kVerdictNames = {
   "clear",
@@ -31,50 +31,50 @@
 bool Counts(const Record& aRecord, const Crash& aCrash, Micros aNow)
 {
   const bool answered = aRecord.mAnsweredAt != 0 &&
-                        aCrash.mAt <= aRecord.mAnsweredAt + kAnswerCounts;
+                        aCrash.mAt <= aRecord.mAnsweredAt + kAnswerWindow;
   return !answered && aCrash.mAt > aRecord.mReleasedAt &&
-         aNow - aCrash.mAt <= kLifetime;
+         aNow - aCrash.mAt <= kEvidenceLifetime;
 }
 
-// What is known least against goes first, of such the oldest: many that each
-// met one crash must not push out one that met three.
-void DropOne(State& aState)
+// Evicts the record with the fewest crashes, the oldest of these: many requests
+// with one crash each must not evict one with three.
+void EvictRecord(State& aState)
 {
   const auto rank = [](const Record& aRecord) {
     const Micros at =
       aRecord.mCrashes.empty() ? 0 : aRecord.mCrashes.back().mAt;
     return std::make_pair(aRecord.mCrashes.size(), at);
   };
-  const auto least =
+  const auto weakest =
     std::min_element(aState.mRecords.begin(),
                      aState.mRecords.end(),
                      [&](const auto& aLeft, const auto& aRight) {
                        return rank(aLeft.second) < rank(aRight.second);
                      });
-  aState.mRecords.erase(least);
+  aState.mRecords.erase(weakest);
   ++aState.mDropped;
 }
 
-Record& RecordOf(State& aState, std::uint64_t aIdentity)
+Record& FindOrAddRecord(State& aState, std::uint64_t aIdentity)
 {
   const auto found = aState.mRecords.find(aIdentity);
   if (found != aState.mRecords.end()) {
     return found->second;
   }
-  if (aState.mRecords.size() >= kMostRecords) {
-    DropOne(aState);
+  if (aState.mRecords.size() >= kMaxRecords) {
+    EvictRecord(aState);
   }
   return aState.mRecords[aIdentity];
 }
 
-bool IsOld(const Record& aRecord, Micros aNow)
+bool IsExpired(const Record& aRecord, Micros aNow)
 {
-  const Micros heardAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
+  const Micros updatedAt = std::max(aRecord.mAnsweredAt, aRecord.mReleasedAt);
   const bool crashed = std::any_of(
     aRecord.mCrashes.begin(), aRecord.mCrashes.end(), [&](const Crash& aCrash) {
-      return aNow - aCrash.mAt <= kLifetime;
+      return aNow - aCrash.mAt <= kEvidenceLifetime;
     });
-  return !crashed && aNow - heardAt > kLifetime;
+  return !crashed && aNow - updatedAt > kEvidenceLifetime;
 }
 
 } // namespace
@@ -84,9 +84,9 @@
   return kVerdictNames[static_cast<std::size_t>(aVerdict)];
 }
 
-void NoteCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash)
+void RecordCrash(State& aState, std::uint64_t aIdentity, const Crash& aCrash)
 {
-  std::vector<Crash>& crashes = RecordOf(aState, aIdentity).mCrashes;
+  std::vector<Crash>& crashes = FindOrAddRecord(aState, aIdentity).mCrashes;
   const auto same =
     std::find_if(crashes.begin(), crashes.end(), [&](const Crash& aKnown) {
       return aKnown.mTarget == aCrash.mTarget;
@@ -95,42 +95,42 @@
     same->mAt = std::max(same->mAt, aCrash.mAt);
     return;
   }
-  if (crashes.size() >= kMostCrashes) {
+  if (crashes.size() >= kMaxCrashes) {
     crashes.erase(crashes.begin());
   }
   crashes.push_back(aCrash);
 }
 
-void NoteAnswer(State& aState, std::uint64_t aIdentity, Micros aAt)
+void RecordAnswer(State& aState, std::uint64_t aIdentity, Micros aAt)
 {
-  Record& record = RecordOf(aState, aIdentity);
+  Record& record = FindOrAddRecord(aState, aIdentity);
   record.mAnsweredAt = std::max(record.mAnsweredAt, aAt);
 }
 
-void NoteRelease(State& aState, std::uint64_t aIdentity, Micros aAt)
+void RecordRelease(State& aState, std::uint64_t aIdentity, Micros aAt)
 {
-  Record& record = RecordOf(aState, aIdentity);
+  Record& record = FindOrAddRecord(aState, aIdentity);
   record.mReleasedAt = std::max(record.mReleasedAt, aAt);
 }
 
-void RememberAnswer(State& aState, std::uint64_t aIdentity, Micros aNow)
+void TrackRecentAnswer(State& aState, std::uint64_t aIdentity, Micros aNow)
 {
   RecentAnswers& answers = aState.mAnswers;
-  if (aNow >= answers.mTurnAt ||
-      answers.mHalves[answers.mCurrent].size() >= kMostAnswers) {
+  if (aNow >= answers.mRotateAt ||
+      answers.mGenerations[answers.mCurrent].size() >= kMaxRecentAnswers) {
     answers.mCurrent = 1 - answers.mCurrent;
-    answers.mHalves[answers.mCurrent].clear();
-    answers.mTurnAt = aNow + kAnswerCounts;
+    answers.mGenerations[answers.mCurrent].clear();
+    answers.mRotateAt = aNow + kAnswerWindow;
   }
-  answers.mHalves[answers.mCurrent][aIdentity] = aNow;
+  answers.mGenerations[answers.mCurrent][aIdentity] = aNow;
 }
 
 Micros LastAnswer(const State& aState, std::uint64_t aIdentity)
 {
   Micros last = 0;
-  for (const auto& half : aState.mAnswers.mHalves) {
-    const auto found = half.find(aIdentity);
-    last = found == half.end() ? last : std::max(last, found->second);
+  for (const auto& generation : aState.mAnswers.mGenerations) {
+    const auto found = generation.find(aIdentity);
+    last = found == generation.end() ? last : std::max(last, found->second);
   }
   return last;
 }
@@ -146,34 +146,35 @@
   return evidence;
 }
 
-Verdict Judge(const State& aState,
-              std::uint64_t aIdentity,
-              Micros aNow,
-              const std::set<std::string>& aReleases)
+Verdict Evaluate(const State& aState,
+                 std::uint64_t aIdentity,
+                 Micros aNow,
+                 const std::set<std::string>& aReleases)
 {
   const auto found = aState.mRecords.find(aIdentity);
   if (found == aState.mRecords.end()) {
     return Verdict::Clear;
   }
   int current = 0;
-  int gone = 0;
+  int retired = 0;
   for (const Crash& crash : Evidence(found->second, aNow)) {
-    const bool runs =
+    const bool deployed =
       crash.mRelease.empty() || aReleases.count(crash.mRelease) != 0;
-    ++(runs ? current : gone);
+    ++(deployed ? current : retired);
   }
-  if (current + std::min(gone, kCrashes - 1) >= kCrashes) {
+  if (current + std::min(retired, kQuarantineCrashes - 1) >=
+      kQuarantineCrashes) {
     return Verdict::Quarantined;
   }
-  if (current + gone >= kCrashes) {
+  if (current + retired >= kQuarantineCrashes) {
     return Verdict::OnTrial;
   }
-  return current + gone > 0 ? Verdict::Suspected : Verdict::Clear;
+  return current + retired > 0 ? Verdict::Suspected : Verdict::Clear;
 }
 
-Verdict JudgeAnyRelease(const State& aState,
-                        std::uint64_t aIdentity,
-                        Micros aNow)
+Verdict EvaluateAnyRelease(const State& aState,
+                           std::uint64_t aIdentity,
+                           Micros aNow)
 {
   std::set<std::string> releases;
   const auto found = aState.mRecords.find(aIdentity);
@@ -182,10 +183,12 @@
       releases.insert(crash.mRelease);
     }
   }
-  return Judge(aState, aIdentity, aNow, releases);
+  return Evaluate(aState, aIdentity, aNow, releases);
 }
 
-std::vector<Crash> Renew(State& aState, std::uint64_t aIdentity, Micros aNow)
+std::vector<Crash> RenewEvidence(State& aState,
+                                 std::uint64_t aIdentity,
+                                 Micros aNow)
 {
   std::vector<Crash> renewed;
   const auto found = aState.mRecords.find(aIdentity);
@@ -193,7 +196,8 @@
     return renewed;
   }
   for (Crash& crash : found->second.mCrashes) {
-    if (Counts(found->second, crash, aNow) && aNow - crash.mAt > kRenewPace) {
+    if (Counts(found->second, crash, aNow) &&
+        aNow - crash.mAt > kRenewInterval) {
       crash.mAt = aNow;
       renewed.push_back(crash);
     }
@@ -204,7 +208,8 @@
 void Expire(State& aState, Micros aNow)
 {
   for (auto it = aState.mRecords.begin(); it != aState.mRecords.end();) {
-    it = IsOld(it->second, aNow) ? aState.mRecords.erase(it) : std::next(it);
+    it =
+      IsExpired(it->second, aNow) ? aState.mRecords.erase(it) : std::next(it);
   }
 }
 
--- a/src/rate_share/rate_share.cpp
+++ b/src/rate_share/rate_share.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// Requests a second of a holder; more hosts hold a part of a larger rate.
+/// Requests per second per holder; larger rates have more holders.
 constexpr double kHolderRate = 1;
-/// Rates below this are taken for it: somebody must see that they have ended.
-constexpr double kLeastRate = 0.1;
-/// Time in which hosts hear of one that came, left or stopped.
-constexpr Micros kHandover = 2 * kSecond;
-/// What a holder saves at most: work comes in clumps.
-constexpr double kSavedRequests = 1.5;
-constexpr double kSavedSeconds = 0.1;
-constexpr Micros kUnusedTime = 2 * kSecond;
+/// Lower rates are raised to this one, so that some host still sends requests
+/// and notices when the limit ends.
+constexpr double kMinRate = 0.1;
+/// Time in which hosts learn that another one joined, left or stopped.
+constexpr Micros kHandoverDelay = 2 * kSecond;
+/// Burst size of a holder, since requests arrive in bursts.
+constexpr double kBurstRequests = 1.5;
+constexpr double kBurstSeconds = 0.1;
+constexpr Micros kIdleTime = 2 * kSecond;
 
 std::uint64_t Weight(std::uint64_t aHost, std::uint64_t aName) noexcept
 {
-  std::uint64_t word = (aHost ^ aName) * 0xff51afd7ed558ccdULL;
-  word = (word ^ (word >> 33)) * 0xc4ceb9fe1a85ec53ULL;
-  return word ^ (word >> 33);
+  std::uint64_t hash = (aHost ^ aName) * 0xff51afd7ed558ccdULL;
+  hash = (hash ^ (hash >> 33)) * 0xc4ceb9fe1a85ec53ULL;
+  return hash ^ (hash >> 33);
 }
 
-// How many hosts come before the own one in the order of this name.
+// Number of hosts that rank before this one for a name.
 std::size_t RankOf(const Members& aMembers, std::uint64_t aName) noexcept
 {
   const std::uint64_t own = Weight(aMembers.mOwn, aName);
@@ -43,21 +44,21 @@
   return std::find(hosts.begin(), hosts.end(), aMembers.mOwn) != hosts.end();
 }
 
-double PartOf(const Members& aMembers,
-              const std::string& aName,
-              double aPerSecond)
+double ShareRate(const Members& aMembers,
+                 const std::string& aName,
+                 double aPerSecond)
 {
   if (!IsMember(aMembers)) {
     return 0;
   }
-  const double rate = std::max(kLeastRate, aPerSecond);
+  const double rate = std::max(kMinRate, aPerSecond);
   const double holders =
     std::clamp(std::ceil(rate / kHolderRate),
                1.0,
                static_cast<double>(aMembers.mDigests.size()));
-  const bool holds =
+  const bool isHolder =
     static_cast<double>(RankOf(aMembers, Hash64(aName))) < holders;
-  return holds ? rate / holders : 0;
+  return isHolder ? rate / holders : 0;
 }
 
 } // namespace
@@ -78,46 +79,47 @@
   return IsMember(aMembers) && RankOf(aMembers, Hash64(aName)) == 0;
 }
 
-void Divide(Share& aShare,
-            const Members& aMembers,
-            const std::string& aName,
-            double aPerSecond,
-            Micros aNow)
+void UpdateShare(Share& aShare,
+                 const Members& aMembers,
+                 const std::string& aName,
+                 double aPerSecond,
+                 Micros aNow)
 {
-  const double part = PartOf(aMembers, aName, aPerSecond);
-  if (part > 0 && aShare.mPart == 0) {
-    // Nobody held a part of a rate that was not divided before.
-    aShare.mFrom = aShare.mDivided ? aNow + kHandover : aNow;
-    aShare.mTakenAt = aShare.mFrom;
+  const double rate = ShareRate(aMembers, aName, aPerSecond);
+  if (rate > 0 && aShare.mRate == 0) {
+    // No host held a share of a rate that was not divided before, so there is
+    // no handover to wait for.
+    aShare.mEffectiveFrom = aShare.mInitialized ? aNow + kHandoverDelay : aNow;
+    aShare.mLastSentAt = aShare.mEffectiveFrom;
     aShare.mBucket = budget::TokenBucket();
     aShare.mBucket.mLevel = 0;
-    aShare.mBucket.mUpdatedAt = aShare.mFrom;
+    aShare.mBucket.mUpdatedAt = aShare.mEffectiveFrom;
   }
-  (void)budget::Take(aShare.mBucket, std::max(aNow, aShare.mFrom), 0);
-  aShare.mDivided = true;
-  aShare.mPart = part;
-  aShare.mBucket.mPerSecond = part;
-  aShare.mBucket.mBurst = std::max(kSavedRequests, part * kSavedSeconds);
+  (void)budget::Take(aShare.mBucket, std::max(aNow, aShare.mEffectiveFrom), 0);
+  aShare.mInitialized = true;
+  aShare.mRate = rate;
+  aShare.mBucket.mPerSecond = rate;
+  aShare.mBucket.mBurst = std::max(kBurstRequests, rate * kBurstSeconds);
 }
 
-bool HasRoom(const Share& aShare, Micros aNow) noexcept
+bool CanSend(const Share& aShare, Micros aNow) noexcept
 {
-  if (aShare.mPart <= 0 || aNow < aShare.mFrom) {
+  if (aShare.mRate <= 0 || aNow < aShare.mEffectiveFrom) {
     return false;
   }
   const double seconds =
     static_cast<double>(aNow - aShare.mBucket.mUpdatedAt) / kSecond;
-  return aShare.mBucket.mLevel + seconds * aShare.mPart >= 1;
+  return aShare.mBucket.mLevel + seconds * aShare.mRate >= 1;
 }
 
-bool IsUnused(const Share& aShare, Micros aNow) noexcept
+bool IsIdle(const Share& aShare, Micros aNow) noexcept
 {
-  return HasRoom(aShare, aNow) && aNow - aShare.mTakenAt >= kUnusedTime;
+  return CanSend(aShare, aNow) && aNow - aShare.mLastSentAt >= kIdleTime;
 }
 
-void Take(Share& aShare, Micros aNow)
+void CountSent(Share& aShare, Micros aNow)
 {
-  aShare.mTakenAt = aNow;
+  aShare.mLastSentAt = aNow;
   (void)budget::Take(aShare.mBucket, aNow, 1);
 }
 
--- a/tests/fakes/gateway_schedule.cpp
+++ b/tests/fakes/gateway_schedule.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// Time in which hosts that were not disturbed hear of each other.
-constexpr Micros kContact = 3 * kSecond;
+/// Time in which undisturbed hosts learn of each other's facts.
+constexpr Micros kPropagationTime = 3 * kSecond;
 constexpr Micros kFaultTime = 24 * kSecond;
-/// From the last fault until all must be well, and for how long that is seen.
-constexpr Micros kRecover = 12 * kSecond;
-constexpr Micros kCalm = 5 * kSecond;
-constexpr std::size_t kEnds = 3;
+/// Time from the last fault until service must be normal, and for how long that
+/// is checked.
+constexpr Micros kRecoveryTime = 12 * kSecond;
+constexpr Micros kObservationTime = 5 * kSecond;
+constexpr std::size_t kCrashesToQuarantine = 3;
 constexpr std::size_t kLaterArrivals = 3;
 constexpr Micros kLimitWindow = 4 * kSecond;
 constexpr Micros kExtraWindow = 10 * kSecond;
 constexpr double kExtraRatio = 0.2;
 constexpr double kExtraFloor = 60;
-constexpr double kServedInCalm = 0.98;
+constexpr double kMinServedShare = 0.98;
 
 constexpr std::array<const char*, 14> kFaultNames = {
   "harmful",        "limit",        "target_ends",     "targets_end",
@@ -31,12 +32,13 @@
   "control_killed", "all_killed",
 };
 
-/// \brief When hosts and the group were disturbed, and what targets named.
+/// \brief When hosts and the control group were disturbed, and the announced
+/// limits.
 struct Record
 {
-  /// By host; the group's own is beyond the last one.
+  /// By host; kGroup for the control group.
   std::map<std::size_t, std::vector<std::pair<Micros, Micros>>> mDisturbed;
-  /// By target address: from when, until when, and the rate.
+  /// Start and end of each limit, by target address.
   std::map<std::string, std::vector<std::pair<Micros, Micros>>> mLimits;
   std::map<std::string, double> mRates;
 };
@@ -51,7 +53,7 @@
       continue;
     }
     for (const auto& [from, until] : found->second) {
-      if (aAt >= from && aAt <= until + kContact) {
+      if (aAt >= from && aAt <= until + kPropagationTime) {
         return true;
       }
     }
@@ -64,41 +66,43 @@
   return "/harmful" + std::to_string(aWhich % 2);
 }
 
-/// \brief Plays the steps of a schedule in a world.
-class Player
+/// \brief Runs the steps of a schedule in a simulation.
+class Runner
 {
 public:
-  explicit Player(const GatewaySchedule& aSchedule)
+  explicit Runner(const GatewaySchedule& aSchedule)
     : mSchedule(aSchedule)
     , mWorld(aSchedule.mLoad, aSchedule.mSeed)
   {
-    mWorld.mLosesFacts = aSchedule.mLosesFacts;
+    mWorld.mDropsGossip = aSchedule.mDropsGossip;
   }
 
-  GatewayOutcome Play()
+  GatewayOutcome Run()
   {
     mWorld.Settle();
     mStart = mWorld.Now();
-    mWorld.StartClients(kFaultTime + kRecover + kCalm);
+    mWorld.StartClients(kFaultTime + kRecoveryTime + kObservationTime);
     for (const GatewayStep& step : mSchedule.mSteps) {
-      mWorld.Later(step.mAt, [this, step] { Do(step); });
+      mWorld.Later(step.mAt, [this, step] { Inject(step); });
     }
-    mWorld.Advance(kFaultTime + kRecover);
+    mWorld.Advance(kFaultTime + kRecoveryTime);
     const GatewayTally before = mWorld.mTally;
-    mWorld.Advance(kCalm + 2 * kSecond);
+    mWorld.Advance(kObservationTime + 2 * kSecond);
     GatewayOutcome outcome;
-    outcome.mInnocents = mWorld.mTally.mQuarantined;
+    outcome.mHarmlessRefused = mWorld.mTally.mQuarantined;
     outcome.mOffered = mWorld.mTally.mOffered;
-    for (const auto& [path, ends] : mWorld.mEnds) {
-      outcome.mMostEnds = std::max(outcome.mMostEnds, ends.size());
+    for (const auto& [path, ends] : mWorld.mCrashTimes) {
+      outcome.mMaxCrashes = std::max(outcome.mMaxCrashes, ends.size());
     }
     for (const std::string& broken :
-         { mWorld.mBroken.empty() ? std::string() : mWorld.mBroken.front(),
-           HarmfulFault(),
-           LimitFault(),
-           ExtraFault(),
-           CalmFault(before) }) {
-      outcome.mBroken = outcome.mBroken.empty() ? broken : outcome.mBroken;
+         { mWorld.mViolations.empty() ? std::string()
+                                      : mWorld.mViolations.front(),
+           HarmfulViolation(),
+           LimitViolation(),
+           ExtraViolation(),
+           RecoveryViolation(before) }) {
+      outcome.mViolation =
+        outcome.mViolation.empty() ? broken : outcome.mViolation;
     }
     return outcome;
   }
@@ -106,7 +110,7 @@
 private:
   std::size_t HostOf(const GatewayStep& aStep) const
   {
-    return aStep.mWhich % mWorld.Hosts();
+    return aStep.mSubject % mWorld.Hosts();
   }
 
   std::string TargetOf(std::size_t aWhich) const
@@ -120,7 +124,7 @@
     return aHost < static_cast<std::size_t>(mSchedule.mLoad.mControlHosts);
   }
 
-  void NoteDisturbed(std::size_t aHost, Micros aUntil)
+  void RecordDisturbance(std::size_t aHost, Micros aUntil)
   {
     mRecord.mDisturbed[aHost].emplace_back(mWorld.Now(), aUntil);
     if (aHost != kGroup && IsControl(aHost)) {
@@ -128,9 +132,9 @@
     }
   }
 
-  void Do(const GatewayStep& aStep)
+  void Inject(const GatewayStep& aStep)
   {
-    const Micros until = mWorld.Now() + aStep.mFor;
+    const Micros until = mWorld.Now() + aStep.mDuration;
     switch (aStep.mFault) {
       case GatewayFault::Harmful:
       case GatewayFault::Limit:
@@ -140,30 +144,31 @@
       case GatewayFault::TargetReset:
       case GatewayFault::TargetReplaced:
       case GatewayFault::TargetsFail:
-        DoToTargets(aStep, until);
+        InjectIntoTargets(aStep, until);
         break;
       case GatewayFault::HostKilled:
       case GatewayFault::HostStopped:
       case GatewayFault::HostFrozen:
       case GatewayFault::HostCut:
-        NoteDisturbed(HostOf(aStep), until);
-        DoToHost(aStep, HostOf(aStep));
+        RecordDisturbance(HostOf(aStep), until);
+        InjectIntoHost(aStep, HostOf(aStep));
         break;
       case GatewayFault::ControlKilled:
       case GatewayFault::AllKilled:
-        DoToHosts(aStep, until);
+        InjectIntoHosts(aStep, until);
         break;
     }
   }
 
-  void DoToTargets(const GatewayStep& aStep, Micros aUntil)
+  void InjectIntoTargets(const GatewayStep& aStep, Micros aUntil)
   {
-    const std::string target = TargetOf(aStep.mWhich);
+    const std::string target = TargetOf(aStep.mSubject);
     const auto gap = static_cast<Micros>(kSecond / std::max(0.1, aStep.mRate));
     switch (aStep.mFault) {
       case GatewayFault::Harmful:
-        mWorld.MakeHarmful(HarmfulPath(aStep.mWhich));
-        mWorld.AskAgainAndAgain(HarmfulPath(aStep.mWhich), gap, aStep.mFor);
+        mWorld.MakeHarmful(HarmfulPath(aStep.mSubject));
+        mWorld.SendRepeatedly(
+          HarmfulPath(aStep.mSubject), gap, aStep.mDuration);
         break;
       case GatewayFault::Limit:
         StartLimit(aStep, target, aUntil);
@@ -173,11 +178,11 @@
         break;
       case GatewayFault::TargetsEnd:
         for (std::size_t i = 0; i < mWorld.TargetAddresses().size(); i += 3) {
-          mWorld.EndTarget(TargetOf(aStep.mWhich + i));
+          mWorld.EndTarget(TargetOf(aStep.mSubject + i));
         }
         break;
       case GatewayFault::TargetSilent:
-        mWorld.SilenceTarget(target, aStep.mFor);
+        mWorld.SilenceTarget(target, aStep.mDuration);
         break;
       case GatewayFault::TargetReset:
         mWorld.ResetConnections(target);
@@ -187,11 +192,12 @@
         break;
       default:
         mWorld.mErrorShare = 0.3;
-        mWorld.Later(aStep.mFor, [this] { mWorld.mErrorShare = 0; });
+        mWorld.Later(aStep.mDuration, [this] { mWorld.mErrorShare = 0; });
     }
   }
 
-  // The first answer names it a little later; a target has one limit in a day.
+  // Hosts learn the limit only from the first answer after this. Each target
+  // has at most one limit per schedule.
   void StartLimit(const GatewayStep& aStep,
                   const std::string& aTarget,
                   Micros aUntil)
@@ -200,12 +206,14 @@
       return;
     }
     mWorld.SetLimit(aTarget, aStep.mRate);
-    mRecord.mLimits[aTarget].emplace_back(mWorld.Now() + kContact, aUntil);
+    mRecord.mLimits[aTarget].emplace_back(mWorld.Now() + kPropagationTime,
+                                          aUntil);
     mRecord.mRates[aTarget] = aStep.mRate;
-    mWorld.Later(aStep.mFor, [this, aTarget] { mWorld.SetLimit(aTarget, 0); });
+    mWorld.Later(aStep.mDuration,
+                 [this, aTarget] { mWorld.SetLimit(aTarget, 0); });
   }
 
-  void DoToHost(const GatewayStep& aStep, std::size_t aHost)
+  void InjectIntoHost(const GatewayStep& aStep, std::size_t aHost)
   {
     switch (aStep.mFault) {
       case GatewayFault::HostStopped:
@@ -213,30 +221,31 @@
         break;
       case GatewayFault::HostFrozen:
         mWorld.FreezeHost(aHost);
-        mWorld.Later(aStep.mFor, [this, aHost] { mWorld.ThawHost(aHost); });
+        mWorld.Later(aStep.mDuration,
+                     [this, aHost] { mWorld.ThawHost(aHost); });
         return;
       case GatewayFault::HostCut:
         mWorld.mCutOff.insert(aHost);
-        mWorld.Later(aStep.mFor,
+        mWorld.Later(aStep.mDuration,
                      [this, aHost] { mWorld.mCutOff.erase(aHost); });
         return;
       default:
         mWorld.KillHost(aHost);
     }
-    mWorld.Later(aStep.mFor, [this, aHost] {
+    mWorld.Later(aStep.mDuration, [this, aHost] {
       mWorld.KillHost(aHost);
       mWorld.StartHost(aHost);
     });
   }
 
-  void DoToHosts(const GatewayStep& aStep, Micros aUntil)
+  void InjectIntoHosts(const GatewayStep& aStep, Micros aUntil)
   {
     const bool all = aStep.mFault == GatewayFault::AllKilled;
-    NoteDisturbed(kGroup, aUntil);
+    RecordDisturbance(kGroup, aUntil);
     for (std::size_t host = 0; host < mWorld.Hosts(); ++host) {
       if (all || IsControl(host)) {
         mWorld.KillHost(host);
-        mWorld.Later(aStep.mFor, [this, host] {
+        mWorld.Later(aStep.mDuration, [this, host] {
           mWorld.KillHost(host);
           mWorld.StartHost(host);
         });
@@ -244,27 +253,27 @@
     }
   }
 
-  // Arrivals of hosts that were disturbed lately do not count.
-  bool Counts(const TargetArrival& aArrival) const
+  // Arrivals from recently disturbed hosts do not count.
+  bool IsCounted(const TargetArrival& aArrival) const
   {
     return !IsDisturbed(mRecord, aArrival.mHostIndex, aArrival.mAt);
   }
 
-  std::string HarmfulFault() const
+  std::string HarmfulViolation() const
   {
-    for (const auto& [path, ends] : mWorld.mEnds) {
-      if (ends.size() < kEnds) {
+    for (const auto& [path, ends] : mWorld.mCrashTimes) {
+      if (ends.size() < kCrashesToQuarantine) {
         continue;
       }
-      // A fleet that was lost as a whole learns anew.
-      const Micros from = ends[kEnds - 1] + kContact;
+      // A fleet that failed as a whole has to detect the request again.
+      const Micros from = ends[kCrashesToQuarantine - 1] + kPropagationTime;
       const std::string& asked = path;
       const auto later = static_cast<std::size_t>(
         std::count_if(mWorld.mArrivals.begin(),
                       mWorld.mArrivals.end(),
                       [&](const TargetArrival& aArrival) {
                         return aArrival.mPath == asked && aArrival.mAt > from &&
-                               Counts(aArrival);
+                               IsCounted(aArrival);
                       }));
       if (later > kLaterArrivals) {
         return "harmful request " + path + " arrived " + std::to_string(later) +
@@ -274,7 +283,7 @@
     return "";
   }
 
-  std::string LimitFault() const
+  std::string LimitViolation() const
   {
     for (const auto& [address, spans] : mRecord.mLimits) {
       const double rate = mRecord.mRates.at(address);
@@ -284,13 +293,14 @@
         const double most = MostArrivals(address, from, until);
         if (most > allowed) {
           char text[128];
-          std::snprintf(text,
-                        sizeof(text),
-                        "%s named %.1f a second and got %.0f, allowed %.0f",
-                        address.c_str(),
-                        rate,
-                        most,
-                        allowed);
+          std::snprintf(
+            text,
+            sizeof(text),
+            "%s has a limit of %.1f per second and got %.0f, allowed %.0f",
+            address.c_str(),
+            rate,
+            most,
+            allowed);
           return text;
         }
       }
@@ -306,9 +316,9 @@
     for (const TargetArrival& arrival : mWorld.mArrivals) {
       const bool here =
         arrival.mTarget.compare(0, aAddress.size() + 1, aAddress + "#") == 0;
-      // A limit is one incarnation's.
+      // A limit applies to one incarnation only.
       if (here && arrival.mLimited && arrival.mAt >= aFrom &&
-          arrival.mAt <= aUntil && Counts(arrival)) {
+          arrival.mAt <= aUntil && IsCounted(arrival)) {
         times.push_back(arrival.mAt);
       }
     }
@@ -323,9 +333,9 @@
     return static_cast<double>(most);
   }
 
-  // Requests count in the window itself, the one before it, or the one half a
-  // window before it, whichever has most.
-  std::string ExtraFault() const
+  // The requests are counted in the same window, the one before it or the one
+  // half a window earlier, whichever has most.
+  std::string ExtraViolation() const
   {
     std::vector<Micros> extra;
     std::vector<Micros> requests;
@@ -345,19 +355,19 @@
                                       within(requests, at - kExtraWindow) });
       most = std::max(most, within(extra, at) - kExtraRatio * asked);
     }
-    return most > kExtraFloor
-             ? "extra arrivals beyond the share: " + std::to_string(most)
-             : "";
+    return most > kExtraFloor ? "extra arrivals beyond the allowed ratio: " +
+                                  std::to_string(most)
+                              : "";
   }
 
-  std::string CalmFault(const GatewayTally& aBefore) const
+  std::string RecoveryViolation(const GatewayTally& aBefore) const
   {
     const int ended = mWorld.mTally.mServed + mWorld.mTally.mRefused +
                       mWorld.mTally.mFailed - aBefore.mServed -
                       aBefore.mRefused - aBefore.mFailed;
     const int served = mWorld.mTally.mServed - aBefore.mServed;
-    return served < kServedInCalm * ended
-             ? "served in the calm after all faults: " +
+    return served < kMinServedShare * ended
+             ? "served after recovery from all faults: " +
                  std::to_string(served) + " of " + std::to_string(ended)
              : "";
   }
@@ -375,8 +385,8 @@
   load.mOtherHosts = static_cast<int>(aRandom() % 30);
   load.mTargets = 6 + static_cast<int>(aRandom() % 20);
   load.mIdempotent = aRandom() % 3 != 0;
-  const double room =
-    load.mTargets * load.mSlots * kSecond / static_cast<double>(load.mWork);
+  const double room = load.mTargets * load.mSlots * kSecond /
+                      static_cast<double>(load.mServiceTime);
   load.mPerSecond = std::min(
     400.0, room * (0.15 + 0.4 * static_cast<double>(aRandom() % 100) / 100));
   return load;
@@ -398,15 +408,17 @@
   const std::size_t count = 3 + random() % 10;
   for (std::size_t i = 0; i < count; ++i) {
     GatewayStep step;
-    // Two of the kinds are drawn more often: they are what this looks for.
+    // Harmful requests and limits are drawn more often, since they are the main
+    // subject of the search.
     const std::size_t kind = random() % (kFaultNames.size() + 6);
     step.mFault =
       kind < kFaultNames.size()
         ? static_cast<GatewayFault>(kind)
         : (kind % 2 == 0 ? GatewayFault::Harmful : GatewayFault::Limit);
     step.mAt = static_cast<Micros>(random() % 16000) * kMillisecond;
-    step.mFor = (500 + static_cast<Micros>(random() % 7500)) * kMillisecond;
-    step.mWhich = random();
+    step.mDuration =
+      (500 + static_cast<Micros>(random() % 7500)) * kMillisecond;
+    step.mSubject = random();
     step.mRate = 0.5 + static_cast<double>(random() % 100) / 10;
     schedule.mSteps.push_back(step);
   }
@@ -418,9 +430,9 @@
   return schedule;
 }
 
-GatewayOutcome PlayGatewaySchedule(const GatewaySchedule& aSchedule)
+GatewayOutcome RunGatewaySchedule(const GatewaySchedule& aSchedule)
 {
-  return Player(aSchedule).Play();
+  return Runner(aSchedule).Run();
 }
 
 GatewaySchedule ShrinkGatewaySchedule(GatewaySchedule aSchedule)
@@ -428,7 +440,7 @@
   for (std::size_t i = 0; i < aSchedule.mSteps.size();) {
     GatewaySchedule fewer = aSchedule;
     fewer.mSteps.erase(fewer.mSteps.begin() + static_cast<std::ptrdiff_t>(i));
-    if (PlayGatewaySchedule(fewer).mBroken.empty()) {
+    if (RunGatewaySchedule(fewer).mViolation.empty()) {
       ++i;
     } else {
       aSchedule = std::move(fewer);
@@ -456,8 +468,8 @@
                   "  %6.2f s %-16s for %5.2f s which %llu rate %.1f\n",
                   static_cast<double>(step.mAt) / kSecond,
                   ToString(step.mFault),
-                  static_cast<double>(step.mFor) / kSecond,
-                  static_cast<unsigned long long>(step.mWhich),
+                  static_cast<double>(step.mDuration) / kSecond,
+                  static_cast<unsigned long long>(step.mSubject),
                   step.mRate);
     text += line;
   }
--- a/tests/fakes/gateway_world.cpp
+++ b/tests/fakes/gateway_world.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// One way between any two of hosts and targets.
-constexpr Micros kTrip = 1500;
+/// One-way delay between any two hosts or targets.
+constexpr Micros kOneWayDelay = 1500;
 constexpr Micros kSyncTime = kMillisecond;
 constexpr Micros kStep = kMillisecond;
 constexpr Micros kDrainTime = 2 * kSecond;
-/// After these a host gives up a probe, and a connect.
-constexpr Micros kProbePatience = 400 * kMillisecond;
-constexpr Micros kConnectPatience = 300 * kMillisecond;
-constexpr Micros kRenewal = 1500 * kMillisecond;
-constexpr Micros kReturnPause = 100 * kMillisecond;
-constexpr double kWorkSpread = 0.3;
+/// Timeouts of a probe and of a connection attempt.
+constexpr Micros kProbeTimeout = 400 * kMillisecond;
+constexpr Micros kConnectTimeout = 300 * kMillisecond;
+constexpr Micros kRenewInterval = 1500 * kMillisecond;
+constexpr Micros kRetryDelay = 100 * kMillisecond;
+constexpr double kServiceTimeSpread = 0.3;
 constexpr const char* kService = "service";
 
 std::string PolicyDocument(const GatewayLoad& aLoad, std::uint64_t aVersion)
@@ -123,9 +123,9 @@
 void GatewayWorld::StartHost(std::size_t aHost)
 {
   Host& host = mHosts[aHost];
-  host.mSettings.mFleet.mIncarnation = ++mLast;
+  host.mSettings.mFleet.mIncarnation = ++mLastId;
   host.mAlive = true;
-  ++host.mLife;
+  ++host.mStartCount;
   gateway::Effects effects;
   host.mState =
     gateway::Open(host.mSettings, host.mDisk, mNow, mRandom(), effects);
@@ -151,10 +151,10 @@
   arrival.mHostName = "host";
   arrival.mPath = aPath;
   Post(aHost,
-       gateway::ReleaseRequest{ ++mLast, dispatch::IdentityOf(arrival) });
+       gateway::ReleaseRequest{ ++mLastId, dispatch::IdentityOf(arrival) });
 }
 
-// Clients of a host that was killed have no answer.
+// Clients of a killed host get no answer.
 void GatewayWorld::KillHost(std::size_t aHost)
 {
   mHosts[aHost].mAlive = false;
@@ -224,8 +224,8 @@
 void GatewayWorld::PutNextPolicy(std::size_t aHost)
 {
   const std::uint64_t version = mAcknowledgedPolicy + 1;
-  mPolicyCalls[++mLast] = version;
-  Post(aHost, gateway::PutPolicy{ mLast, PolicyDocument(mLoad, version) });
+  mPolicyCalls[++mLastId] = version;
+  Post(aHost, gateway::PutPolicy{ mLastId, PolicyDocument(mLoad, version) });
 }
 
 void GatewayWorld::PerformOne(std::size_t, gateway::AnswerOperation& aEffect)
@@ -234,13 +234,13 @@
   if (call == mPolicyCalls.end()) {
     return;
   }
-  if (aEffect.mEnd == gateway::OperationEnd::Done) {
+  if (aEffect.mEnd == gateway::OperationOutcome::Done) {
     mAcknowledgedPolicy = std::max(mAcknowledgedPolicy, call->second);
   }
   mPolicyCalls.erase(call);
 }
 
-std::uint64_t GatewayWorld::PolicyInForce(std::size_t aHost) const
+std::uint64_t GatewayWorld::AppliedPolicy(std::size_t aHost) const
 {
   const Host& host = mHosts.at(aHost);
   const auto& policy = host.mState.mDispatch.mPolicy;
@@ -310,20 +310,20 @@
     return;
   }
   gateway::Announce call;
-  call.mOperation = ++mLast;
+  call.mOperation = ++mLastId;
   call.mRecord.set_id(target.mId);
   call.mRecord.set_service(kService);
   call.mRecord.set_address(aAddress);
   call.mRecord.set_data_centre(target.mDataCentre);
   call.mRecord.set_slots(static_cast<unsigned>(mLoad.mSlots));
-  call.mRecord.set_sequence(++mLast);
+  call.mRecord.set_sequence(++mLastId);
   call.mRecord.set_draining(target.mDraining);
   call.mRecord.set_release(target.mRelease);
   if (const std::optional<std::size_t> host = AnyHost()) {
     Post(*host, std::move(call));
   }
   const int start = target.mStarts;
-  Later(kRenewal, [this, aAddress, start] {
+  Later(kRenewInterval, [this, aAddress, start] {
     if (mTargets[aAddress].mStarts == start && !mTargets[aAddress].mDraining) {
       Announce(aAddress);
     }
@@ -338,7 +338,7 @@
   target.mWaiting.clear();
   target.mDraining = false;
   BreakJobs(aAddress, dispatch::EndKind::Broken);
-  Later(mLoad.mRestart, [this, aAddress] {
+  Later(mLoad.mRestartDelay, [this, aAddress] {
     if (!mTargets[aAddress].mAlive) {
       StartTarget(aAddress);
     }
@@ -403,7 +403,7 @@
   FakeTarget& target = mTargets.at(job.mTarget);
   dispatch::AttemptEnd end;
   if (target.mSilent) {
-    Later(kConnectPatience, [this, aJob] {
+    Later(kConnectTimeout, [this, aJob] {
       if (mJobs.count(aJob) != 0) {
         dispatch::AttemptEnd late;
         late.mKind = dispatch::EndKind::NotSent;
@@ -444,40 +444,40 @@
   }
 }
 
-void GatewayWorld::NoteRun(const Job& aJob)
+void GatewayWorld::RecordRun(const Job& aJob)
 {
   if (mLoad.mIdempotent) {
     return;
   }
   const auto key = std::make_pair(aJob.mHost, aJob.mSend.mRequest);
   if (++mRuns[key] > 1) {
-    mBroken.push_back("ran twice: " + aJob.mPath);
+    mViolations.push_back("ran twice: " + aJob.mPath);
   }
   if (mRefused.count(key) != 0) {
-    mBroken.push_back("ran after it was refused: " + aJob.mPath);
+    mViolations.push_back("ran after it was refused: " + aJob.mPath);
   }
 }
 
 void GatewayWorld::StartJob(std::uint64_t aJob)
 {
   Job& job = mJobs.at(aJob);
-  NoteRun(job);
+  RecordRun(job);
   job.mRunning = true;
   ++mTargets.at(job.mTarget).mRunning;
   if (mHarmful.count(job.mPath) != 0) {
-    Later(mLoad.mEndsAfter, [this, aJob] {
+    Later(mLoad.mCrashDelay, [this, aJob] {
       const auto still = mJobs.find(aJob);
       if (still != mJobs.end()) {
         const std::string address = still->second.mTarget;
-        mEnds[still->second.mPath].push_back(mNow);
+        mCrashTimes[still->second.mPath].push_back(mNow);
         EndTarget(address);
       }
     });
     return;
   }
-  std::lognormal_distribution<double> spread(-kWorkSpread * kWorkSpread / 2,
-                                             kWorkSpread);
-  const double work = static_cast<double>(mLoad.mWork) * spread(mRandom);
+  std::lognormal_distribution<double> spread(
+    -kServiceTimeSpread * kServiceTimeSpread / 2, kServiceTimeSpread);
+  const double work = static_cast<double>(mLoad.mServiceTime) * spread(mRandom);
   Later(static_cast<Micros>(work), [this, aJob] { FinishJob(aJob); });
 }
 
@@ -517,7 +517,8 @@
   }
   aEnd.mRequest = job.mSend.mRequest;
   aEnd.mAttempt = job.mSend.mAttempt;
-  Later(kTrip, [this, host = job.mHost, aEnd] { ReportEnd(host, aEnd); });
+  Later(kOneWayDelay,
+        [this, host = job.mHost, aEnd] { ReportEnd(host, aEnd); });
 }
 
 void GatewayWorld::ReportEnd(std::size_t aHost, dispatch::AttemptEnd aEnd)
@@ -534,27 +535,27 @@
   Micros at = 0;
   while (at < aFor) {
     Later(at, [this] {
-      SendRequest({ "/" + std::to_string(++mLast), true, mLoad.mReturns });
+      SendRequest({ "/" + std::to_string(++mLastId), true, mLoad.mRetries });
     });
     at += static_cast<Micros>(gaps(mRandom) * kSecond);
   }
 }
 
-void GatewayWorld::AskAgainAndAgain(const std::string& aPath,
-                                    Micros aGap,
-                                    Micros aFor,
-                                    bool aCounted)
+void GatewayWorld::SendRepeatedly(const std::string& aPath,
+                                  Micros aGap,
+                                  Micros aFor,
+                                  bool aCounted)
 {
   for (Micros at = 0; at < aFor; at += aGap) {
     Later(at, [this, aPath, aCounted] {
-      SendRequest({ aPath, aCounted, aCounted ? mLoad.mReturns : 0 });
+      SendRequest({ aPath, aCounted, aCounted ? mLoad.mRetries : 0 });
     });
   }
 }
 
 void GatewayWorld::SendRequest(Client aClient)
 {
-  const bool first = aClient.mReturns == mLoad.mReturns;
+  const bool first = aClient.mRetries == mLoad.mRetries;
   mTally.mOffered += aClient.mCounted && first ? 1 : 0;
   const std::optional<std::size_t> alive = AnyHost();
   if (!alive) {
@@ -563,7 +564,7 @@
   }
   const std::size_t host = *alive;
   dispatch::Arrival arrival;
-  arrival.mId = ++mLast;
+  arrival.mId = ++mLastId;
   arrival.mClientRequestId = std::to_string(arrival.mId);
   arrival.mHostName = "host";
   arrival.mPath = aClient.mPath;
@@ -572,7 +573,7 @@
   Post(host, std::move(arrival));
 }
 
-// What may have run comes back only where it may be repeated.
+// A request that may have run is retried only if it is idempotent.
 void GatewayWorld::EndClient(std::size_t aHost,
                              std::uint64_t aRequest,
                              int aStatus)
@@ -587,10 +588,10 @@
     return;
   }
   const bool again = aStatus == 503 || (aStatus >= 500 && mLoad.mIdempotent);
-  if (again && client.mReturns > 0) {
-    --client.mReturns;
+  if (again && client.mRetries > 0) {
+    --client.mRetries;
     client.mSent = false;
-    Later(kReturnPause, [this, client] { SendRequest(client); });
+    Later(kRetryDelay, [this, client] { SendRequest(client); });
   } else if (aStatus == 200) {
     ++mTally.mServed;
   } else {
@@ -603,7 +604,7 @@
 void GatewayWorld::PerformOne(std::size_t aHost, dispatch::ProbeTarget& aEffect)
 {
   const bool silent = mTargets.at(aEffect.mAddress).mSilent;
-  const Micros patience = silent ? kProbePatience : 2 * kTrip;
+  const Micros patience = silent ? kProbeTimeout : 2 * kOneWayDelay;
   Later(patience, [this, aHost, silent, probe = aEffect] {
     const FakeTarget& target = mTargets.at(probe.mAddress);
     dispatch::ProbeEnd end;
@@ -614,7 +615,7 @@
       end.mAnsweredBy = target.mId;
       end.mReport = ReportOf(target);
       end.mLimit =
-        mProbesNameLimits ? LimitOf(target) : dispatch::StatedLimit();
+        mProbesReportLimits ? LimitOf(target) : dispatch::StatedLimit();
     }
     end.mRefused = !target.mAlive && !silent;
     Post(aHost, std::move(end));
@@ -632,9 +633,9 @@
     job.mExtra = std::exchange(client->second.mSent, true);
   }
   job.mTarget = aEffect.mAddress;
-  const std::uint64_t id = ++mLast;
+  const std::uint64_t id = ++mLastId;
   mJobs[id] = std::move(job);
-  Later(kTrip, [this, id] { ArriveAtTarget(id); });
+  Later(kOneWayDelay, [this, id] { ArriveAtTarget(id); });
 }
 
 void GatewayWorld::PerformOne(std::size_t aHost,
@@ -670,7 +671,7 @@
   if (aEffect.mStatus == 503 && !mLoad.mIdempotent) {
     mRefused.insert(key);
     if (mRuns.count(key) != 0) {
-      mBroken.push_back("refused though it ran: " + aEffect.mReason);
+      mViolations.push_back("refused although it ran: " + aEffect.mReason);
     }
   }
   const auto client = mClients.find(key);
@@ -682,7 +683,7 @@
 void GatewayWorld::PerformOne(std::size_t aHost, gateway::SendPeer& aEffect)
 {
   if (aEffect.mMessage.has_gossip()) {
-    if (mLosesFacts) {
+    if (mDropsGossip) {
       return;
     }
     ++mGossipMessages;
@@ -694,7 +695,7 @@
       (mLose && mLose(aHost, found->second, aEffect.mMessage))) {
     return;
   }
-  Later(kTrip, [this, to = found->second, message = aEffect.mMessage] {
+  Later(kOneWayDelay, [this, to = found->second, message = aEffect.mMessage] {
     Post(to, gateway::PeerMessage{ message });
   });
 }
@@ -703,10 +704,10 @@
 {
   Host& host = mHosts[aHost];
   ApplyWrite(host.mDisk, aEffect.mWrite);
-  const std::uint64_t life = host.mLife;
+  const std::uint64_t life = host.mStartCount;
   const std::uint64_t sequence = aEffect.mWrite.mSequence;
   Later(kSyncTime, [this, aHost, life, sequence] {
-    if (mHosts[aHost].mLife == life) {
+    if (mHosts[aHost].mStartCount == life) {
       Post(aHost, gateway::DiskSynced{ sequence });
     }
   });
--- a/tests/fleet_confirmation_test.cpp
+++ b/tests/fleet_confirmation_test.cpp
@@ -42,7 +42,7 @@
       CPPUNIT_ASSERT(PropagationTimeWithFailures(level, kMaxLostControlHosts) <=
                      kTestLimit);
     }
-    CPPUNIT_ASSERT_EQUAL(consensus::Rules().mHeartbeat, kCommitLatency);
+    CPPUNIT_ASSERT_EQUAL(consensus::Options().mHeartbeat, kCommitLatency);
     // A host that is out of touch has been asking for longer.
     CPPUNIT_ASSERT(PropagationTimeWithFailures(
                      kMaxLevels, kMaxLostControlHosts) <= kLeaderTimeout);
--- a/tests/gateway_restart_test.cpp
+++ b/tests/gateway_restart_test.cpp
@@ -11,23 +11,23 @@
 
 namespace {
 
-/// More changes than a disk holds beside its last snapshot.
+/// More changes than a disk keeps beside its latest snapshot.
 constexpr int kChanges = 230;
-constexpr std::uint64_t kDraws = 8;
+constexpr std::uint64_t kSeeds = 8;
 
 } // namespace
 
-/// \brief All hosts are lost at the same moment, and come back.
+/// \brief All hosts fail at the same moment and are restarted.
 class GatewayRestartTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayRestartTest);
-  CPPUNIT_TEST(HostsActByNoOlderPolicyAfterAllWereLost);
+  CPPUNIT_TEST(HostsApplyNoOlderPolicyAfterAllFailed);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostsActByNoOlderPolicyAfterAllWereLost()
+  void HostsApplyNoOlderPolicyAfterAllFailed()
   {
-    for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       GatewayWorld world(GatewayLoad(), seed);
       std::mt19937_64 random(seed);
       world.Settle();
@@ -35,14 +35,15 @@
         world.PutNextPolicy(random() % world.Hosts());
         world.Advance(12 * kMillisecond);
       }
-      LoseAll(world, random);
-      ExpectNothingOlder(world, seed);
+      RestartAll(world, random);
+      ExpectNoOlderPolicy(world, seed);
     }
   }
 
 private:
-  // One control host hears of the others later than its followers of it.
-  static void LoseAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
+  // One control host exchanges no consensus messages for the first second, so
+  // that hosts follow it before it has heard from the other control hosts.
+  static void RestartAll(GatewayWorld& aWorld, std::mt19937_64& aRandom)
   {
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
       aWorld.KillHost(host);
@@ -62,26 +63,27 @@
     };
   }
 
-  static void ExpectNothingOlder(GatewayWorld& aWorld, std::uint64_t aSeed)
+  static void ExpectNoOlderPolicy(GatewayWorld& aWorld, std::uint64_t aSeed)
   {
     const std::uint64_t acknowledged = aWorld.AcknowledgedPolicy();
     CPPUNIT_ASSERT(acknowledged > kChanges / 2);
     for (int step = 0; step < 400; ++step) {
       aWorld.Advance(10 * kMillisecond);
       for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
-        const std::uint64_t version = aWorld.PolicyInForce(host);
-        CPPUNIT_ASSERT_MESSAGE("host " + std::to_string(host) + " acts by " +
-                                 std::to_string(version) + " of " +
-                                 std::to_string(acknowledged) + ", seed " +
-                                 std::to_string(aSeed),
+        const std::uint64_t version = aWorld.AppliedPolicy(host);
+        CPPUNIT_ASSERT_MESSAGE("host " + std::to_string(host) +
+                                 " applies policy " + std::to_string(version) +
+                                 " of " + std::to_string(acknowledged) +
+                                 ", seed " + std::to_string(aSeed),
                                version == 0 || version >= acknowledged);
       }
     }
-    // A change without an answer may be in force, then at all hosts.
-    const std::uint64_t last = aWorld.PolicyInForce(0);
+    // A change that was not acknowledged may still be applied, but then on all
+    // hosts.
+    const std::uint64_t last = aWorld.AppliedPolicy(0);
     CPPUNIT_ASSERT(last >= acknowledged);
     for (std::size_t host = 0; host < aWorld.Hosts(); ++host) {
-      CPPUNIT_ASSERT_EQUAL(last, aWorld.PolicyInForce(host));
+      CPPUNIT_ASSERT_EQUAL(last, aWorld.AppliedPolicy(host));
     }
   }
 };
--- a/tests/gateway_stall_test.cpp
+++ b/tests/gateway_stall_test.cpp
@@ -16,33 +16,33 @@
 class GatewayStallTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayStallTest);
-  CPPUNIT_TEST(HostThatStoodStillWithItsFirstAnswersServesAgain);
-  CPPUNIT_TEST(HostWhoseFirstAnswersTookNearlyAllTheirTimeServesAgain);
+  CPPUNIT_TEST(HostThatFrozeDuringItsFirstRequestsRecovers);
+  CPPUNIT_TEST(HostWhoseFirstRequestsNearlyTimedOutRecovers);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostThatStoodStillWithItsFirstAnswersServesAgain()
+  void HostThatFrozeDuringItsFirstRequestsRecovers()
   {
     for (const std::uint64_t seed : { 51, 52, 53 }) {
-      AssertServesAgain(seed, 7 * kSecond);
+      AssertRecovers(seed, 7 * kSecond);
     }
   }
 
-  void HostWhoseFirstAnswersTookNearlyAllTheirTimeServesAgain()
+  void HostWhoseFirstRequestsNearlyTimedOutRecovers()
   {
     for (const std::uint64_t seed : { 54, 55, 56 }) {
-      AssertServesAgain(seed, 700 * kMillisecond);
+      AssertRecovers(seed, 700 * kMillisecond);
     }
   }
 
 private:
-  // Frozen as soon as it has sent requests, before it knows how long work
-  // takes.
-  static void AssertServesAgain(std::uint64_t aSeed, Micros aFrozenFor)
+  // Freezes a host that has just started and sent its first requests, before it
+  // has any measurement of how long requests take.
+  static void AssertRecovers(std::uint64_t aSeed, Micros aFrozenFor)
   {
     GatewayLoad load;
     load.mIdempotent = false;
-    load.mReturns = 0;
+    load.mRetries = 0;
     GatewayWorld world(load, aSeed);
     world.Settle();
     world.StartClients(25 * kSecond);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -33,7 +33,7 @@
   catalog::State catalog;
   wire::CatalogCommand command;
   *command.mutable_put_policy() =
-    catalog::MakeChange(1, 0, std::string(aDocumentBytes, 'x'));
+    catalog::MakePolicyChange(1, 0, std::string(aDocumentBytes, 'x'));
   CPPUNIT_ASSERT(catalog::Apply(catalog, command).accepted());
   return catalog;
 }
@@ -61,41 +61,41 @@
 class GatewayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayTest);
-  CPPUNIT_TEST(LargePolicyIsReadFromTheLeaderWhereTheOwnLinkIsSlow);
-  CPPUNIT_TEST(SmallPolicyIsReadHere);
-  CPPUNIT_TEST(LargePolicyIsReadHereWhileTheLeaderIsNotKnown);
-  CPPUNIT_TEST(ReaderIsSentOnlyToALeaderThatHasAnswered);
-  CPPUNIT_TEST(ReaderIsAnsweredHereWhereTheLeaderIsOfAnEarlierVersion);
-  CPPUNIT_TEST(ReadIsRefusedAtOnceWhereNobodyKnowsALeader);
-  CPPUNIT_TEST(PolicyFromDiskWaitsForTheGroup);
-  CPPUNIT_TEST(PolicyOnALearnersDiskWaitsForTheLeaderNotForAnUpstream);
-  CPPUNIT_TEST(PolicyOfAnUpstreamOutOfTouchWaitsForTheGroup);
-  CPPUNIT_TEST(UnknownRouteIsRefusedForGoodOnlyWhileThePolicyIsKnownToBeNew);
+  CPPUNIT_TEST(ReadOfLargePolicyIsRedirectedOnASlowLink);
+  CPPUNIT_TEST(SmallPolicyIsReadLocally);
+  CPPUNIT_TEST(LargePolicyIsReadLocallyWithoutAKnownLeader);
+  CPPUNIT_TEST(ReaderIsRedirectedOnlyToALeaderThatHasAnswered);
+  CPPUNIT_TEST(ReaderIsAnsweredLocallyIfTheLeaderRunsAnEarlierVersion);
+  CPPUNIT_TEST(ReadFailsBeforeItsCallerGivesUp);
+  CPPUNIT_TEST(PolicyFromDiskIsWithheldUntilTheGroupConfirmsIt);
+  CPPUNIT_TEST(PolicyOnALearnersDiskIsWithheldUntilTheLeaderConfirmsIt);
+  CPPUNIT_TEST(PolicyFromAnIsolatedUpstreamIsWithheld);
+  CPPUNIT_TEST(UnknownRouteGets404OnlyWhileThePolicyIsCurrent);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void LargePolicyIsReadFromTheLeaderWhereTheOwnLinkIsSlow()
+  void ReadOfLargePolicyIsRedirectedOnASlowLink()
   {
     const State slow = Follower(kSlowLink, true, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(kLeader), PolicyReader(slow, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(kLeader), PolicyRedirect(slow, kStart));
     const State fast = Follower(kFastLink, true, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(fast, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(fast, kStart));
   }
 
-  void SmallPolicyIsReadHere()
+  void SmallPolicyIsReadLocally()
   {
     const State state = Follower(kSlowLink, true, 4000);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(state, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
-  void LargePolicyIsReadHereWhileTheLeaderIsNotKnown()
+  void LargePolicyIsReadLocallyWithoutAKnownLeader()
   {
     const State state = Follower(kSlowLink, false, kLargeDocument);
-    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyReader(state, kStart));
+    CPPUNIT_ASSERT_EQUAL(std::string(), PolicyRedirect(state, kStart));
   }
 
-  // Guards against a reader who is sent to a host without power.
-  void ReaderIsSentOnlyToALeaderThatHasAnswered()
+  // Guards against redirecting a reader to a host that is down.
+  void ReaderIsRedirectedOnlyToALeaderThatHasAnswered()
   {
     State state = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(state, kStart + kSecond);
@@ -104,11 +104,11 @@
       Step(state, FromLeader(kStart + kSecond, SubmitIn(asked), 1));
     const AnswerOperation* answer = AnswerIn(ended);
     CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mEnd == OperationEnd::Elsewhere);
+    CPPUNIT_ASSERT(answer->mEnd == OperationOutcome::Elsewhere);
     CPPUNIT_ASSERT_EQUAL(std::string(kLeader), answer->mElsewhere);
   }
 
-  void ReaderIsAnsweredHereWhereTheLeaderIsOfAnEarlierVersion()
+  void ReaderIsAnsweredLocallyIfTheLeaderRunsAnEarlierVersion()
   {
     State state = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(state, kStart + kSecond);
@@ -118,18 +118,19 @@
       ->clear_leader_address();
     const Effects ended = Step(state, end);
     CPPUNIT_ASSERT(AnswerIn(ended) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationEnd::Done);
+    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationOutcome::Done);
     CPPUNIT_ASSERT_EQUAL(kLargeDocument, AnswerIn(ended)->mDocument.size());
   }
 
-  // Guards against callers that leave a host before it answers: after a second.
-  void ReadIsRefusedAtOnceWhereNobodyKnowsALeader()
+  // Guards against callers that give up, after one second, before the host
+  // answers.
+  void ReadFailsBeforeItsCallerGivesUp()
   {
     State silent = Follower(kSlowLink, true, kLargeDocument);
     (void)Read(silent, kStart + kSecond);
     const Effects late = Tick(silent, kStart + kSecond + 850 * kMillisecond);
     CPPUNIT_ASSERT(AnswerIn(late) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(late)->mEnd == OperationEnd::Unavailable);
+    CPPUNIT_ASSERT(AnswerIn(late)->mEnd == OperationOutcome::Unavailable);
 
     State leaderless = Follower(kSlowLink, true, kLargeDocument);
     const Effects asked = Read(leaderless, kStart + kSecond);
@@ -140,16 +141,16 @@
     reply.clear_leader_address();
     const Effects ended = Step(leaderless, refused);
     CPPUNIT_ASSERT(AnswerIn(ended) != nullptr);
-    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationEnd::Unavailable);
+    CPPUNIT_ASSERT(AnswerIn(ended)->mEnd == OperationOutcome::Unavailable);
   }
 
-  void PolicyFromDiskWaitsForTheGroup()
+  void PolicyFromDiskIsWithheldUntilTheGroupConfirmsIt()
   {
     State state = RestartedControlHost(true);
     CPPUNIT_ASSERT(!IsReady(state));
     CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
-    // However long the group is away: what it acknowledged last may not be on
-    // this disk.
+    // However long the group is unreachable: the newest policy that it
+    // acknowledged may not be on this disk.
     for (const Micros away : { 1, 8, 60 }) {
       Pass(state, kStart + away * kSecond);
       CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
@@ -160,9 +161,10 @@
     CPPUNIT_ASSERT(IsReady(state));
   }
 
-  // A host that lost its vote while it was away is a learner at its start: an
-  // upstream is in touch before the log has caught up.
-  void PolicyOnALearnersDiskWaitsForTheLeaderNotForAnUpstream()
+  // A host that was removed as a voter while it was down starts as a learner,
+  // and its upstream may be in touch with the leader before its log has caught
+  // up.
+  void PolicyOnALearnersDiskIsWithheldUntilTheLeaderConfirmsIt()
   {
     State state = RestartedControlHost(false);
     (void)Step(state, FromUpstream(kStart + kSecond, true, 100));
@@ -171,7 +173,7 @@
     CPPUNIT_ASSERT(state.mDispatch.mPolicy);
   }
 
-  void PolicyOfAnUpstreamOutOfTouchWaitsForTheGroup()
+  void PolicyFromAnIsolatedUpstreamIsWithheld()
   {
     State state = Follower(kFastLink, false, 100);
     CPPUNIT_ASSERT(!state.mDispatch.mPolicy);
@@ -180,7 +182,7 @@
     CPPUNIT_ASSERT(state.mDispatch.mPolicy);
   }
 
-  void UnknownRouteIsRefusedForGoodOnlyWhileThePolicyIsKnownToBeNew()
+  void UnknownRouteGets404OnlyWhileThePolicyIsCurrent()
   {
     State state = Follower(kFastLink, true, 100);
     CPPUNIT_ASSERT_EQUAL(404, StatusOfUnknownRoute(state, kStart + 1000));
@@ -207,7 +209,7 @@
     return 0;
   }
 
-  // A host with a disk that holds a policy, as a voter or as a learner.
+  // A control host with a policy on its disk, as a voter or a learner.
   static State RestartedControlHost(bool aVotes)
   {
     Settings settings = MakeSettings(kFastLink);
@@ -233,7 +235,7 @@
     (void)Step(aState, event);
   }
 
-  // An empty append of a leader that has committed what the disk holds.
+  // An empty append request from a leader that has committed what the disk has.
   static void HearLeader(State& aState, Micros aNow)
   {
     Event event;
@@ -291,7 +293,7 @@
     return 0;
   }
 
-  // The leader's answer to a read, with the version that is the newest.
+  // The leader's answer to a read, with the current policy version.
   static Event FromLeader(Micros aNow,
                           std::uint64_t aId,
                           std::uint64_t aVersion)
@@ -310,7 +312,7 @@
   }
 
   static constexpr std::size_t kLargeDocument = 350000;
-  /// 2.4 and 100 megabits a second.
+  /// 2.4 and 100 Mbit/s.
   static constexpr double kSlowLink = 300e3;
   static constexpr double kFastLink = 12.5e6;
 
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -17,7 +17,7 @@
   return { Kind::RequestCrash, aKey, "v1", aSeenAt };
 }
 
-/// \brief Hosts in a line, and what is on its way between them.
+/// \brief Hosts connected in a line, and the messages in flight between them.
 struct Line
 {
   explicit Line(std::size_t aHosts)
@@ -49,12 +49,12 @@
     for (const auto& [to, message] : aOutput.mMessages) {
       ++mSent;
       if (!mLose || !mLose()) {
-        mUnderWay.push_back({ aFrom, std::stoul(to), message });
+        mInFlight.push_back({ aFrom, std::stoul(to), message });
       }
     }
   }
 
-  // One step of time, and one trip of what was under way.
+  // Advances time by one step and delivers the messages in flight.
   void Step()
   {
     mNow += 10 * kMillisecond;
@@ -63,7 +63,7 @@
       Tick(mStates[i], mNow, output);
       Send(i, output);
     }
-    const auto arrived = std::exchange(mUnderWay, {});
+    const auto arrived = std::exchange(mInFlight, {});
     for (const auto& [from, to, message] : arrived) {
       Output output;
       Receive(mStates[to], mNow, Name(from), message, output);
@@ -92,7 +92,7 @@
 
   Micros mNow = kStart;
   std::vector<State> mStates;
-  std::deque<Message> mUnderWay;
+  std::deque<Message> mInFlight;
   std::function<bool()> mLose;
   int mSent = 0;
 };
@@ -102,58 +102,58 @@
 class GossipTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GossipTest);
-  CPPUNIT_TEST(FactReachesAllHostsInATripAStep);
-  CPPUNIT_TEST(FactReachesAllHostsThoughHalfOfTheMessagesAreLost);
-  CPPUNIT_TEST(NothingIsSentOnceAllHaveIt);
-  CPPUNIT_TEST(HostThatStartsAnewIsToldAgain);
-  CPPUNIT_TEST(HostThatStartsAnewIsToldWhatItHadTold);
-  CPPUNIT_TEST(LatestObservationCounts);
-  CPPUNIT_TEST(OldFactIsForgottenByAllAtAboutTheSameTime);
-  CPPUNIT_TEST(OldestGoesFirstWhereThereAreTooMany);
-  CPPUNIT_TEST(ManyFactsGoInSeveralMessages);
-  CPPUNIT_TEST(KindOfALaterVersionIsLeftOut);
+  CPPUNIT_TEST(FactReachesAllHostsInOneDelayPerHop);
+  CPPUNIT_TEST(FactReachesAllHostsDespiteMessageLoss);
+  CPPUNIT_TEST(NothingIsSentOnceAllHostsHaveTheFact);
+  CPPUNIT_TEST(RestartedHostIsSentFactsAgain);
+  CPPUNIT_TEST(RestartedHostIsSentBackItsOwnFacts);
+  CPPUNIT_TEST(LatestObservationWins);
+  CPPUNIT_TEST(FactExpiresOnAllHostsAtAboutTheSameTime);
+  CPPUNIT_TEST(OldestFactIsDroppedFirst);
+  CPPUNIT_TEST(ManyFactsAreSplitIntoSeveralMessages);
+  CPPUNIT_TEST(UnknownKindIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void FactReachesAllHostsInATripAStep()
+  void FactReachesAllHostsInOneDelayPerHop()
   {
     Line line(6);
-    CPPUNIT_ASSERT(Note(line.mStates[0], line.mNow, Crash("a")));
+    CPPUNIT_ASSERT(Publish(line.mStates[0], line.mNow, Crash("a")));
     line.Steps(6);
     for (std::size_t i = 0; i < 6; ++i) {
       CPPUNIT_ASSERT(line.Has(i, "a"));
     }
   }
 
-  void FactReachesAllHostsThoughHalfOfTheMessagesAreLost()
+  void FactReachesAllHostsDespiteMessageLoss()
   {
     Line line(6);
     int count = 0;
     line.mLose = [&count] { return ++count % 2 == 0; };
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
-    (void)Note(line.mStates[5], line.mNow, Crash("b"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[5], line.mNow, Crash("b"));
     line.Steps(1000);
     for (std::size_t i = 0; i < 6; ++i) {
       CPPUNIT_ASSERT(line.Has(i, "a") && line.Has(i, "b"));
     }
   }
 
-  void NothingIsSentOnceAllHaveIt()
+  void NothingIsSentOnceAllHostsHaveTheFact()
   {
     Line line(6);
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
     line.Steps(100);
     const int sent = line.mSent;
-    // One message and its acknowledgement a step.
+    // One message and one acknowledgement per hop.
     CPPUNIT_ASSERT_EQUAL(10, sent);
     line.Steps(1000);
     CPPUNIT_ASSERT_EQUAL(sent, line.mSent);
   }
 
-  void HostThatStartsAnewIsToldAgain()
+  void RestartedHostIsSentFactsAgain()
   {
     Line line(3);
-    (void)Note(line.mStates[0], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[0], line.mNow, Crash("a"));
     line.Steps(100);
     line.mStates[2] = State();
     line.mStates[2].mIncarnation = 999;
@@ -162,10 +162,10 @@
     CPPUNIT_ASSERT(line.Has(2, "a"));
   }
 
-  void HostThatStartsAnewIsToldWhatItHadTold()
+  void RestartedHostIsSentBackItsOwnFacts()
   {
     Line line(2);
-    (void)Note(line.mStates[1], line.mNow, Crash("a"));
+    (void)Publish(line.mStates[1], line.mNow, Crash("a"));
     line.Steps(100);
     line.mStates[1] = State();
     line.mStates[1].mIncarnation = 999;
@@ -174,24 +174,24 @@
     CPPUNIT_ASSERT(line.Has(1, "a"));
   }
 
-  void LatestObservationCounts()
+  void LatestObservationWins()
   {
     State state;
-    CPPUNIT_ASSERT(Note(state, kStart, Crash("a", kStart - 20 * kSecond)));
+    CPPUNIT_ASSERT(Publish(state, kStart, Crash("a", kStart - 20 * kSecond)));
     Item other = Crash("a", kStart - 30 * kSecond);
     other.mValue = "v0";
-    CPPUNIT_ASSERT(!Note(state, kStart, other));
-    other.mSeenAt = kStart - 10 * kSecond;
-    CPPUNIT_ASSERT(Note(state, kStart, other));
+    CPPUNIT_ASSERT(!Publish(state, kStart, other));
+    other.mObservedAt = kStart - 10 * kSecond;
+    CPPUNIT_ASSERT(Publish(state, kStart, other));
     const Entry& entry = state.mEntries.at({ Kind::RequestCrash, "a" });
     CPPUNIT_ASSERT_EQUAL(std::string("v0"), entry.mItem.mValue);
   }
 
-  void OldFactIsForgottenByAllAtAboutTheSameTime()
+  void FactExpiresOnAllHostsAtAboutTheSameTime()
   {
-    const Micros lifetime = RulesOf(Kind::RequestCrash).mLifetime;
+    const Micros lifetime = KindLimitsOf(Kind::RequestCrash).mLifetime;
     Line line(3);
-    (void)Note(
+    (void)Publish(
       line.mStates[0], line.mNow, Crash("a", kStart - lifetime + 5 * kSecond));
     line.Steps(300);
     CPPUNIT_ASSERT(line.Has(0, "a") && line.Has(2, "a"));
@@ -199,36 +199,36 @@
     CPPUNIT_ASSERT(!line.Has(0, "a") && !line.Has(2, "a"));
   }
 
-  void OldestGoesFirstWhereThereAreTooMany()
+  void OldestFactIsDroppedFirst()
   {
-    const std::size_t most = RulesOf(Kind::RequestCrash).mMost;
+    const std::size_t most = KindLimitsOf(Kind::RequestCrash).mMaxItems;
     State state;
     for (std::size_t i = 0; i <= most; ++i) {
       const Micros at = kStart + static_cast<Micros>(i);
-      CPPUNIT_ASSERT(Note(state, at, Crash(std::to_string(i), at)));
+      CPPUNIT_ASSERT(Publish(state, at, Crash(std::to_string(i), at)));
     }
     CPPUNIT_ASSERT_EQUAL(most, state.mEntries.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), state.mDropped);
     CPPUNIT_ASSERT(state.mEntries.count({ Kind::RequestCrash, "0" }) == 0);
   }
 
-  void ManyFactsGoInSeveralMessages()
+  void ManyFactsAreSplitIntoSeveralMessages()
   {
     Line line(2);
     for (int i = 0; i < 500; ++i) {
-      (void)Note(line.mStates[0], line.mNow, Crash(std::to_string(i)));
+      (void)Publish(line.mStates[0], line.mNow, Crash(std::to_string(i)));
     }
     line.Steps(50);
     CPPUNIT_ASSERT_EQUAL(std::size_t(500), line.mStates[1].mEntries.size());
   }
 
-  void KindOfALaterVersionIsLeftOut()
+  void UnknownKindIsIgnored()
   {
     State state;
     wire::Gossip message;
     message.set_sender(7);
     message.set_up_to(3);
-    message.add_items()->set_kind(kKinds);
+    message.add_items()->set_kind(kKindCount);
     Output output;
     Receive(state, kStart, "1", message, output);
     CPPUNIT_ASSERT(state.mEntries.empty());
--- a/tests/rate_share_test.cpp
+++ b/tests/rate_share_test.cpp
@@ -18,23 +18,24 @@
   return hosts;
 }
 
-std::vector<Share> DivideAmong(const std::vector<std::string>& aHosts,
-                               double aPerSecond)
+std::vector<Share> MakeShares(const std::vector<std::string>& aHosts,
+                              double aPerSecond)
 {
   std::vector<Share> shares(aHosts.size());
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
-    Divide(shares[i], MakeMembers(aHosts, aHosts[i]), "t", aPerSecond, kStart);
+    UpdateShare(
+      shares[i], MakeMembers(aHosts, aHosts[i]), "t", aPerSecond, kStart);
   }
   return shares;
 }
 
-// Requests that a host sends which always has work, a step a millisecond.
+// Number of requests sent by a host that always has work, in steps of 1 ms.
 int SentIn(Share& aShare, Micros aFrom, Micros aTime)
 {
   int sent = 0;
   for (Micros now = aFrom; now < aFrom + aTime; now += kMillisecond) {
-    if (HasRoom(aShare, now)) {
-      Take(aShare, now);
+    if (CanSend(aShare, now)) {
+      CountSent(aShare, now);
       ++sent;
     }
   }
@@ -46,36 +47,36 @@
 class RateShareTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RateShareTest);
-  CPPUNIT_TEST(PartsOfAllHostsAddUpToTheRate);
-  CPPUNIT_TEST(SumOfWhatHostsSendIsTheRateWhateverTheirNumber);
-  CPPUNIT_TEST(LittleIsSavedUpInAQuietTime);
-  CPPUNIT_TEST(HostThatIsNotAmongTheMembersHoldsNothing);
-  CPPUNIT_TEST(HolderThatLosesItsPartEndsAtOnceAndTheNextOneWaits);
-  CPPUNIT_TEST(HoldersStayWhereOthersComeAndGo);
-  CPPUNIT_TEST(RateOfNothingIsStillTriedNowAndThen);
-  CPPUNIT_TEST(PartThatIsNotUsedIsSeen);
+  CPPUNIT_TEST(SharesAddUpToTheRate);
+  CPPUNIT_TEST(HostsTogetherSendAtTheRate);
+  CPPUNIT_TEST(BurstAfterAnIdlePeriodIsSmall);
+  CPPUNIT_TEST(NonMemberHasNoShare);
+  CPPUNIT_TEST(FormerHolderStopsAtOnceAndNewHolderWaits);
+  CPPUNIT_TEST(HoldersAreStableWhenOtherHostsChange);
+  CPPUNIT_TEST(ZeroRateIsStillProbed);
+  CPPUNIT_TEST(UnusedShareIsIdle);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PartsOfAllHostsAddUpToTheRate()
+  void SharesAddUpToTheRate()
   {
     for (const int count : { 1, 2, 19, 476 }) {
       for (const double rate : { 0.5, 1.0, 3.4, 50.0, 5000.0 }) {
         double sum = 0;
-        for (const Share& share : DivideAmong(Hosts(count), rate)) {
-          sum += share.mPart;
+        for (const Share& share : MakeShares(Hosts(count), rate)) {
+          sum += share.mRate;
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(rate, sum, 1e-6 * rate);
       }
     }
   }
 
-  void SumOfWhatHostsSendIsTheRateWhateverTheirNumber()
+  void HostsTogetherSendAtTheRate()
   {
     for (const int count : { 1, 19, 476 }) {
       for (const double rate : { 0.5, 3.4, 50.0 }) {
         double sent = 0;
-        for (Share& share : DivideAmong(Hosts(count), rate)) {
+        for (Share& share : MakeShares(Hosts(count), rate)) {
           sent += SentIn(share, kStart, 20 * kSecond);
         }
         CPPUNIT_ASSERT_LESSEQUAL(20 * rate + 1, sent);
@@ -84,32 +85,32 @@
     }
   }
 
-  void LittleIsSavedUpInAQuietTime()
+  void BurstAfterAnIdlePeriodIsSmall()
   {
     for (const double rate : { 0.5, 3.4, 50.0 }) {
       double sent = 0;
-      for (Share& share : DivideAmong(Hosts(476), rate)) {
+      for (Share& share : MakeShares(Hosts(476), rate)) {
         sent += SentIn(share, kStart + 600 * kSecond, 4 * kSecond);
       }
       CPPUNIT_ASSERT_LESSEQUAL(1.5 * 4 * rate + 5, sent);
     }
   }
 
-  void HostThatIsNotAmongTheMembersHoldsNothing()
+  void NonMemberHasNoShare()
   {
     Share share;
-    Divide(share, MakeMembers(Hosts(3), "other"), "t", 100, kStart);
-    CPPUNIT_ASSERT(!HasRoom(share, kStart + kSecond));
-    Divide(share, Members(), "t", 100, kStart);
-    CPPUNIT_ASSERT(!HasRoom(share, kStart + kSecond));
+    UpdateShare(share, MakeMembers(Hosts(3), "other"), "t", 100, kStart);
+    CPPUNIT_ASSERT(!CanSend(share, kStart + kSecond));
+    UpdateShare(share, Members(), "t", 100, kStart);
+    CPPUNIT_ASSERT(!CanSend(share, kStart + kSecond));
   }
 
-  void HolderThatLosesItsPartEndsAtOnceAndTheNextOneWaits()
+  void FormerHolderStopsAtOnceAndNewHolderWaits()
   {
     const std::vector<std::string> all = Hosts(19);
-    std::vector<Share> shares = DivideAmong(all, 1.0);
+    std::vector<Share> shares = MakeShares(all, 1.0);
     std::size_t holder = 0;
-    while (shares[holder].mPart == 0) {
+    while (shares[holder].mRate == 0) {
       ++holder;
     }
     std::vector<std::string> left = all;
@@ -117,17 +118,17 @@
     const Micros later = kStart + 10 * kSecond;
     Micros first = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
-      Divide(shares[i], MakeMembers(left, all[i]), "t", 1.0, later);
-      for (Micros now = later; shares[i].mPart > 0 && first == 0;
+      UpdateShare(shares[i], MakeMembers(left, all[i]), "t", 1.0, later);
+      for (Micros now = later; shares[i].mRate > 0 && first == 0;
            now += kMillisecond) {
-        first = HasRoom(shares[i], now) ? now : 0;
+        first = CanSend(shares[i], now) ? now : 0;
       }
     }
-    CPPUNIT_ASSERT(!HasRoom(shares[holder], later));
+    CPPUNIT_ASSERT(!CanSend(shares[holder], later));
     CPPUNIT_ASSERT(first >= later + 2 * kSecond);
   }
 
-  void HoldersStayWhereOthersComeAndGo()
+  void HoldersAreStableWhenOtherHostsChange()
   {
     const std::vector<std::string> all = Hosts(100);
     const std::vector<std::string> fewer(all.begin(), all.begin() + 95);
@@ -136,19 +137,19 @@
       for (const std::string& host : fewer) {
         Share share;
         const std::string text = std::to_string(name);
-        Divide(share, MakeMembers(all, host), text, 1.0, kStart);
-        const bool before = share.mPart > 0;
-        Divide(share, MakeMembers(fewer, host), text, 1.0, kStart);
-        moved += before != (share.mPart > 0) ? 1 : 0;
+        UpdateShare(share, MakeMembers(all, host), text, 1.0, kStart);
+        const bool before = share.mRate > 0;
+        UpdateShare(share, MakeMembers(fewer, host), text, 1.0, kStart);
+        moved += before != (share.mRate > 0) ? 1 : 0;
       }
     }
-    // One of twenty names had its holder among those that went.
+    // For one name in twenty, the holder is among the removed hosts.
     CPPUNIT_ASSERT_LESSEQUAL(15, moved);
   }
 
-  void RateOfNothingIsStillTriedNowAndThen()
+  void ZeroRateIsStillProbed()
   {
-    std::vector<Share> shares = DivideAmong(Hosts(19), 0);
+    std::vector<Share> shares = MakeShares(Hosts(19), 0);
     int sent = 0;
     for (Share& share : shares) {
       sent += SentIn(share, kStart, 60 * kSecond);
@@ -156,14 +157,14 @@
     CPPUNIT_ASSERT(sent > 0 && sent <= 7);
   }
 
-  void PartThatIsNotUsedIsSeen()
+  void UnusedShareIsIdle()
   {
     Share share;
-    Divide(share, MakeMembers(Hosts(1), Hosts(1)[0]), "t", 1.0, kStart);
-    CPPUNIT_ASSERT(!IsUnused(share, kStart + kSecond));
-    CPPUNIT_ASSERT(IsUnused(share, kStart + 2 * kSecond));
-    Take(share, kStart + 2 * kSecond);
-    CPPUNIT_ASSERT(!IsUnused(share, kStart + 3 * kSecond));
+    UpdateShare(share, MakeMembers(Hosts(1), Hosts(1)[0]), "t", 1.0, kStart);
+    CPPUNIT_ASSERT(!IsIdle(share, kStart + kSecond));
+    CPPUNIT_ASSERT(IsIdle(share, kStart + 2 * kSecond));
+    CountSent(share, kStart + 2 * kSecond);
+    CPPUNIT_ASSERT(!IsIdle(share, kStart + 3 * kSecond));
   }
 };
 
--- a/tests/shared_bounds_test.cpp
+++ b/tests/shared_bounds_test.cpp
@@ -16,8 +16,9 @@
 constexpr double kExtraRatio = 0.2;
 constexpr double kExtraFloor = 60;
 
-// Most extra arrivals of any window, less what the requests of it allow.
-double MostBeyondRequests(const std::vector<TargetArrival>& aArrivals)
+// Maximum over all windows of the extra arrivals beyond the ratio of the
+// requests in the window.
+double MaxExtraBeyondRatio(const std::vector<TargetArrival>& aArrivals)
 {
   double most = 0;
   double extra = 0;
@@ -49,22 +50,22 @@
 class SharedBoundsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SharedBoundsTest);
-  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundWhereTargetsFailMostRequests);
-  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundAfterAllHostsStartAnew);
+  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundWhenTargetsFailMostRequests);
+  CPPUNIT_TEST(ExtraArrivalsStayWithinTheBoundAfterAllHostsRestart);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void ExtraArrivalsStayWithinTheBoundWhereTargetsFailMostRequests()
+  void ExtraArrivalsStayWithinTheBoundWhenTargetsFailMostRequests()
   {
     GatewayWorld world(ManyHosts(), 21);
     world.Settle();
     world.mErrorShare = 0.8;
     world.StartClients(20 * kSecond);
     world.Advance(22 * kSecond);
-    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MostBeyondRequests(world.mArrivals));
+    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MaxExtraBeyondRatio(world.mArrivals));
   }
 
-  void ExtraArrivalsStayWithinTheBoundAfterAllHostsStartAnew()
+  void ExtraArrivalsStayWithinTheBoundAfterAllHostsRestart()
   {
     GatewayWorld world(ManyHosts(), 22);
     world.Settle();
@@ -78,7 +79,7 @@
     }
     world.StartClients(10 * kSecond);
     world.Advance(12 * kSecond);
-    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MostBeyondRequests(world.mArrivals));
+    CPPUNIT_ASSERT_LESSEQUAL(kExtraFloor, MaxExtraBeyondRatio(world.mArrivals));
   }
 };
 
--- a/tests/target_limit_test.cpp
+++ b/tests/target_limit_test.cpp
@@ -12,9 +12,9 @@
 using fakes::GatewayWorld;
 using fakes::TargetArrival;
 
-/// Time in which hosts that can reach each other hear of a limit.
-constexpr Micros kContact = 3 * kSecond;
-/// A target may get so much in this time.
+/// Time in which hosts that can reach each other learn of a limit.
+constexpr Micros kPropagationTime = 3 * kSecond;
+/// Window over which the arrivals at a target are counted.
 constexpr Micros kWindow = 4 * kSecond;
 constexpr double kSlack = 1.5;
 constexpr double kMore = 5;
@@ -29,7 +29,7 @@
   return aArrival.mTarget.compare(0, aAddress.size() + 1, aAddress + "#") == 0;
 }
 
-// Most arrivals at a target in any window between two times.
+// Maximum number of arrivals at a target in any window between two times.
 double MostArrivals(const GatewayWorld& aWorld,
                     const std::string& aAddress,
                     Micros aFrom,
@@ -58,21 +58,21 @@
 class TargetLimitTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(TargetLimitTest);
-  CPPUNIT_TEST(TargetThatNamesALimitGetsNoMoreFromAllHostsTogether);
-  CPPUNIT_TEST(LimitHoldsOverAHundredHostsWhoseSharesAreSmall);
-  CPPUNIT_TEST(LimitIsUsedWhileWorkWaits);
-  CPPUNIT_TEST(LimitHoldsWhileHostsThatHoldItStopFreezeAndComeBack);
-  CPPUNIT_TEST(LimitHoldsWhileAllHostsStartAnew);
-  CPPUNIT_TEST(LimitIsKnownToAllHostsAtOnce);
-  CPPUNIT_TEST(LimitEndsAtAllHostsSoonAfterItIsNamedNoMore);
-  CPPUNIT_TEST(LimitThatTheHealthPathNamesTooIsTheSame);
+  CPPUNIT_TEST(LimitHoldsForAllHostsCombined);
+  CPPUNIT_TEST(LimitHoldsForAHundredHostsWithSmallShares);
+  CPPUNIT_TEST(LimitIsUsedWhileRequestsWait);
+  CPPUNIT_TEST(LimitHoldsWhileHoldersStopFreezeAndRestart);
+  CPPUNIT_TEST(LimitHoldsWhileAllHostsRestart);
+  CPPUNIT_TEST(LimitSpreadsToAllHostsQuickly);
+  CPPUNIT_TEST(LimitEndsOnAllHostsSoonAfterTheTargetDropsIt);
+  CPPUNIT_TEST(LimitInProbeAnswersIsTheSameLimit);
   CPPUNIT_TEST(NextIncarnationStartsWithoutALimit);
-  CPPUNIT_TEST(HostThatStartsHearsOfLimitsItHasNotSeen);
-  CPPUNIT_TEST(RequestIsRefusedAtOnceWhereNoTargetMayTakeIt);
+  CPPUNIT_TEST(RestartedHostLearnsExistingLimits);
+  CPPUNIT_TEST(RequestIsRefusedAtOnceIfNoTargetIsAvailable);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void TargetThatNamesALimitGetsNoMoreFromAllHostsTogether()
+  void LimitHoldsForAllHostsCombined()
   {
     for (const double limit : { 0.5, 3.4, 10.0 }) {
       GatewayWorld world(GatewayLoad(), 31);
@@ -80,7 +80,7 @@
     }
   }
 
-  void LimitHoldsOverAHundredHostsWhoseSharesAreSmall()
+  void LimitHoldsForAHundredHostsWithSmallShares()
   {
     GatewayLoad load;
     load.mOtherHosts = 96;
@@ -89,7 +89,7 @@
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
   }
 
-  void LimitIsUsedWhileWorkWaits()
+  void LimitIsUsedWhileRequestsWait()
   {
     GatewayWorld world(Overload(), 33);
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT_GREATER(0.8 * 3.4 * seconds, mArrived);
   }
 
-  void LimitHoldsWhileHostsThatHoldItStopFreezeAndComeBack()
+  void LimitHoldsWhileHoldersStopFreezeAndRestart()
   {
     for (const std::uint64_t seed : { 34, 35, 36 }) {
       GatewayWorld world(Overload(), seed);
@@ -111,7 +111,7 @@
     }
   }
 
-  void LimitHoldsWhileAllHostsStartAnew()
+  void LimitHoldsWhileAllHostsRestart()
   {
     GatewayWorld world(Overload(), 37);
     AssertHolds(world, 3.4, [](GatewayWorld& aWorld) {
@@ -124,7 +124,7 @@
     });
   }
 
-  void LimitIsKnownToAllHostsAtOnce()
+  void LimitSpreadsToAllHostsQuickly()
   {
     GatewayWorld world(GatewayLoad(), 38);
     Start(world);
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT_EQUAL(world.Hosts(), HostsThatKnow(world));
   }
 
-  void LimitEndsAtAllHostsSoonAfterItIsNamedNoMore()
+  void LimitEndsOnAllHostsSoonAfterTheTargetDropsIt()
   {
     GatewayWorld world(GatewayLoad(), 39);
     Start(world);
@@ -144,10 +144,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), HostsThatKnow(world));
   }
 
-  void LimitThatTheHealthPathNamesTooIsTheSame()
+  void LimitInProbeAnswersIsTheSameLimit()
   {
     GatewayWorld world(GatewayLoad(), 40);
-    world.mProbesNameLimits = true;
+    world.mProbesReportLimits = true;
     AssertHolds(world, 3.4, [](GatewayWorld&) {});
     world.SetLimit(Target(world), 0);
     world.StartClients(4 * kSecond);
@@ -170,7 +170,7 @@
     }
   }
 
-  void HostThatStartsHearsOfLimitsItHasNotSeen()
+  void RestartedHostLearnsExistingLimits()
   {
     GatewayWorld world(GatewayLoad(), 42);
     Start(world);
@@ -183,17 +183,17 @@
     CPPUNIT_ASSERT_EQUAL(world.Hosts(), HostsThatKnow(world));
   }
 
-  void RequestIsRefusedAtOnceWhereNoTargetMayTakeIt()
+  void RequestIsRefusedAtOnceIfNoTargetIsAvailable()
   {
     GatewayLoad load;
     load.mTargets = 1;
     load.mPerSecond = 100;
-    load.mReturns = 0;
+    load.mRetries = 0;
     GatewayWorld world(load, 43);
     Start(world);
     world.SetLimit(Target(world), 2.0);
     world.Advance(5 * kSecond);
-    // Of 15 hosts two hold a part; none of the others lets anybody wait.
+    // Two of the 15 hosts have a share; none of the others queues requests.
     for (std::size_t host = 0; host < world.Hosts(); ++host) {
       const dispatch::State& state = world.At(host).mDispatch;
       const bool holds = !state.mServices.at("service").mLimitedTargets.empty();
@@ -202,7 +202,7 @@
   }
 
 private:
-  // More work than the targets without a limit can do.
+  // More load than the targets without a limit can handle.
   static GatewayLoad Overload()
   {
     GatewayLoad load;
@@ -244,7 +244,7 @@
     return holders;
   }
 
-  // Stopped and started anew, frozen, cut off, or killed, by turns.
+  // Restarts, freezes, isolates or kills the host, depending on its index.
   static void Disturb(GatewayWorld& aWorld, std::size_t aHost)
   {
     switch (aHost % 4) {
@@ -272,14 +272,14 @@
 
   void AssertHolds(GatewayWorld& aWorld,
                    double aLimit,
-                   const std::function<void(GatewayWorld&)>& aTrouble)
+                   const std::function<void(GatewayWorld&)>& aFault)
   {
     Start(aWorld);
     const std::string target = Target(aWorld);
     aWorld.SetLimit(target, aLimit);
-    const Micros from = aWorld.Now() + kContact;
-    aWorld.Advance(kContact);
-    aTrouble(aWorld);
+    const Micros from = aWorld.Now() + kPropagationTime;
+    aWorld.Advance(kPropagationTime);
+    aFault(aWorld);
     aWorld.Advance(15 * kSecond);
     CPPUNIT_ASSERT_LESSEQUAL(Allowed(aLimit),
                              MostArrivals(aWorld, target, from, aWorld.Now()));
