--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -3,7 +3,7 @@
 // hosts.
 //
 //   change_bench [--changes N] [--hosts N] [--data-centres N]
-#include "fakes/change_time.h"
+#include "fakes/change_propagation.h"
 #include "fakes/options.h"
 
 #include <cstdio>
--- a/tests/fakes/change_time.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -1,4 +1,4 @@
-#include "fakes/change_time.h"
+#include "fakes/change_propagation.h"
 
 #include <algorithm>
 #include <array>
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "fakes/fleet_world.h"
+#include "fakes/fleet_simulation.h"
 
 #include <geraniumpond/result.h>
 
--- a/tests/fakes/fleet_player.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -1,5 +1,5 @@
-#include "fakes/fleet_calm.h"
 #include "fakes/fleet_schedule.h"
+#include "fakes/fleet_stability.h"
 #include "fakes/policy_readers.h"
 
 #include <algorithm>
--- a/tests/fakes/fleet_calm.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -1,4 +1,4 @@
-#include "fakes/fleet_calm.h"
+#include "fakes/fleet_stability.h"
 
 #include <algorithm>
 
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -1,4 +1,4 @@
-#include "fakes/fleet_world.h"
+#include "fakes/fleet_simulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -1,4 +1,4 @@
-#include "fakes/fleet_world.h"
+#include "fakes/fleet_simulation.h"
 #include "fakes/processor_time.h"
 #include "fleet/internal.h"
 
