--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -65,30 +65,31 @@
 Micros TimeUntilWhole(std::uint64_t aSeed, int aTolerated, Leaving aLeaving)
 {
   const int disks = 2 * aTolerated + 2;
-  fakes::FleetWorld world(aSeed);
-  world.Found(disks, 4, aTolerated);
+  fakes::FleetSimulation simulation(aSeed);
+  simulation.Found(disks, 4, aTolerated);
   const auto voters = static_cast<std::size_t>(disks);
-  (void)world.Until(10 * kSecond, [&] { return world.Voters() == voters; });
-  world.Advance(2 * kSecond);
+  (void)simulation.Until(10 * kSecond,
+                         [&] { return simulation.Voters() == voters; });
+  simulation.Advance(2 * kSecond);
   const int number = 1 + static_cast<int>(aSeed % voters);
   const std::string leaves = "10.0.0." + std::to_string(number) + ":1";
   if (aLeaving == Leaving::Stops) {
-    world.Stop(leaves);
+    simulation.Stop(leaves);
   } else {
-    world.LosePower(leaves);
+    simulation.LosePower(leaves);
   }
-  const Micros start = world.mNow;
-  (void)world.Until(60 * kSecond, [&] {
-    const std::string leader = world.Leader();
+  const Micros start = simulation.mNow;
+  (void)simulation.Until(60 * kSecond, [&] {
+    const std::string leader = simulation.Leader();
     const auto whole = [&](const fleet::State& aState) {
       const consensus::State& group = aState.mGroup;
       return leader != leaves && group.mCommit >= group.mMembershipIndex &&
-             world.Voters() == voters - 1 &&
-             fleet::HealthOf(aState, world.mNow).mTolerated >= aTolerated;
+             simulation.Voters() == voters - 1 &&
+             fleet::HealthOf(aState, simulation.mNow).mTolerated >= aTolerated;
     };
-    return !leader.empty() && whole(world.Node(leader).mState);
+    return !leader.empty() && whole(simulation.Node(leader).mState);
   });
-  return world.mNow - start;
+  return simulation.mNow - start;
 }
 
 void PrintTimes(std::uint64_t aSeeds)
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -24,24 +24,25 @@
 public:
   Measurement(const ChangeCase& aCase, std::uint64_t aSeed)
     : mCase(aCase)
-    , mWorld(aSeed)
+    , mSimulation(aSeed)
     , mRandom(aSeed)
   {
-    mWorld.FoundSpread(
+    mSimulation.FoundSpread(
       mCase.mDataCentres, mCase.mOthers, (mCase.mDataCentres - 1) / 2);
     const auto voters = static_cast<std::size_t>(mCase.mDataCentres);
-    if (!mWorld.Until(kSettled, [&] { return mWorld.Voters() == voters; })) {
+    if (!mSimulation.Until(kSettled,
+                           [&] { return mSimulation.Voters() == voters; })) {
       throw std::runtime_error("no group was founded");
     }
     Change();
-    mWorld.Advance(kSettled);
+    mSimulation.Advance(kSettled);
   }
 
   ChangeTimes Take(int aChanges)
   {
     ChangeTimes times;
     for (int i = 0; i < aChanges; ++i) {
-      mWorld.Advance(static_cast<Micros>(mRandom() % kSecond));
+      mSimulation.Advance(static_cast<Micros>(mRandom() % kSecond));
       const bool before = mRandom() % 2 == 0;
       const std::set<std::string> hosts = Choose();
       if (before) {
@@ -52,12 +53,13 @@
         Begin(hosts);
       }
       WaitForChange(hosts);
-      times.mSlowest = std::max(times.mSlowest, mWorld.mNow - acknowledgedAt);
+      times.mSlowest =
+        std::max(times.mSlowest, mSimulation.mNow - acknowledgedAt);
       times.mLevels = std::max(times.mLevels, Levels());
       End(hosts);
-      mWorld.Advance(kSettled);
+      mSimulation.Advance(kSettled);
     }
-    times.mQuestions = mWorld.WordsAsked();
+    times.mQuestions = mSimulation.WordsAsked();
     return times;
   }
 
@@ -65,20 +67,20 @@
   // Until it is acknowledged; when that was.
   Micros Change()
   {
-    const std::string leader = mWorld.Leader();
-    if (!mWorld.Commit(leader,
-                       PutPolicyCommand(mVersion + 1, mVersion, "policy"))) {
+    const std::string leader = mSimulation.Leader();
+    if (!mSimulation.Commit(
+          leader, PutPolicyCommand(mVersion + 1, mVersion, "policy"))) {
       throw std::runtime_error("a change was not committed");
     }
     ++mVersion;
-    return mWorld.mNow;
+    return mSimulation.mNow;
   }
 
   std::set<std::string> Choose()
   {
     std::set<std::string> chosen;
-    for (const std::string& address : mWorld.Addresses()) {
-      const fleet::State& state = mWorld.Node(address).mState;
+    for (const std::string& address : mSimulation.Addresses()) {
+      const fleet::State& state = mSimulation.Node(address).mState;
       if (state.mSettings.mControl) {
         continue;
       }
@@ -98,14 +100,14 @@
       case HostTrouble::None:
         break;
       case HostTrouble::CutFromControl:
-        mWorld.mCutFromControl = aHosts;
+        mSimulation.mCutFromControl = aHosts;
         break;
       case HostTrouble::Frozen:
-        mWorld.mFrozen = aHosts;
+        mSimulation.mFrozen = aHosts;
         break;
       case HostTrouble::LosePower:
         for (const std::string& address : aHosts) {
-          mWorld.LosePower(address);
+          mSimulation.LosePower(address);
         }
         break;
     }
@@ -113,22 +115,22 @@
 
   void End(const std::set<std::string>& aHosts)
   {
-    mWorld.mFrozen.clear();
-    mWorld.mCutFromControl.clear();
+    mSimulation.mFrozen.clear();
+    mSimulation.mCutFromControl.clear();
     for (const std::string& address : aHosts) {
-      if (!mWorld.Node(address).mAlive) {
-        mWorld.Start(address, false);
+      if (!mSimulation.Node(address).mAlive) {
+        mSimulation.Start(address, false);
       }
     }
   }
 
   void WaitForChange(const std::set<std::string>& aTroubled)
   {
-    const std::vector<std::string> all = mWorld.Addresses();
-    (void)mWorld.Until(kMostWait, [&] {
+    const std::vector<std::string> all = mSimulation.Addresses();
+    (void)mSimulation.Until(kMostWait, [&] {
       return std::all_of(all.begin(), all.end(), [&](const std::string& aHost) {
         return aTroubled.count(aHost) != 0 ||
-               mWorld.Node(aHost).mState.mCatalog.mVersion >= mVersion;
+               mSimulation.Node(aHost).mState.mCatalog.mVersion >= mVersion;
       });
     });
   }
@@ -136,14 +138,14 @@
   int Levels()
   {
     std::size_t most = 0;
-    for (const std::string& address : mWorld.Addresses()) {
-      most = std::max(most, mWorld.Node(address).mState.mRoute.size());
+    for (const std::string& address : mSimulation.Addresses()) {
+      most = std::max(most, mSimulation.Node(address).mState.mRoute.size());
     }
     return static_cast<int>(most);
   }
 
   ChangeCase mCase;
-  FleetWorld mWorld;
+  FleetSimulation mSimulation;
   std::mt19937_64 mRandom;
   std::uint64_t mVersion = 0;
 };
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -45,27 +45,30 @@
 public:
   Player(const FleetSchedule& aSchedule, std::ostream* aLog)
     : mSchedule(aSchedule)
-    , mWorld(aSchedule.mSeed)
-    , mCalm(mWorld, aSchedule.mTolerated)
-    , mReaders(mWorld, aSchedule.mSeed)
+    , mSimulation(aSchedule.mSeed)
+    , mCalm(mSimulation, aSchedule.mTolerated)
+    , mReaders(mSimulation, aSchedule.mSeed)
     , mLog(aLog)
   {
   }
 
   std::string Play()
   {
-    mWorld.mLose = [this](const Sent& aSent) { return IsBetweenHalves(aSent); };
+    mSimulation.mLose = [this](const Sent& aSent) {
+      return IsBetweenHalves(aSent);
+    };
     const bool heedless = mSchedule.mPlant == FleetPlant::Size;
-    mWorld.mForgetsSynced = mSchedule.mPlant == FleetPlant::Sync;
-    mWorld.mForgesChecks = mSchedule.mPlant == FleetPlant::Read;
-    mWorld.Found(
+    mSimulation.mForgetsSynced = mSchedule.mPlant == FleetPlant::Sync;
+    mSimulation.mForgesChecks = mSchedule.mPlant == FleetPlant::Read;
+    mSimulation.Found(
       mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
-    if (!mWorld.Until(10 * kSecond, [&] { return mWorld.Voters() == disks; })) {
+    if (!mSimulation.Until(10 * kSecond,
+                           [&] { return mSimulation.Voters() == disks; })) {
       return "no group was founded";
     }
     // The last founder counts once its vote is committed everywhere.
-    mWorld.Advance(kSecond);
+    mSimulation.Advance(kSecond);
     for (const FleetStep& step : mSchedule.mSteps) {
       Log("schedule", ToString(step.mFault));
       Take(step);
@@ -79,21 +82,24 @@
   }
 
 private:
-  FleetNode& Node(const std::string& aAddress) { return mWorld.Node(aAddress); }
+  FleetNode& Node(const std::string& aAddress)
+  {
+    return mSimulation.Node(aAddress);
+  }
 
   // --- time
 
   void Pass(Micros aTime)
   {
-    const Micros end = mWorld.mNow + aTime;
-    while (mWorld.mNow < end && mFault.empty()) {
-      while (!mLater.empty() && mLater.begin()->first <= mWorld.mNow) {
+    const Micros end = mSimulation.mNow + aTime;
+    while (mSimulation.mNow < end && mFault.empty()) {
+      while (!mLater.empty() && mLater.begin()->first <= mSimulation.mNow) {
         const std::function<void()> action = mLater.begin()->second;
         mLater.erase(mLater.begin());
         action();
       }
       ChangePolicy();
-      mWorld.Advance(kLookPause);
+      mSimulation.Advance(kLookPause);
       TakeEnds();
       LogNotes();
       Look();
@@ -102,20 +108,20 @@
 
   void After(Micros aTime, std::function<void()> aAction)
   {
-    mLater.emplace(mWorld.mNow + aTime, std::move(aAction));
+    mLater.emplace(mSimulation.mNow + aTime, std::move(aAction));
   }
 
   void Log(const std::string& aWho, const std::string& aWhat)
   {
     if (mLog != nullptr) {
-      *mLog << mWorld.mNow / kMillisecond << " ms " << aWho << " " << aWhat
+      *mLog << mSimulation.mNow / kMillisecond << " ms " << aWho << " " << aWhat
             << "\n";
     }
   }
 
   void LogNotes()
   {
-    for (const std::string& address : mWorld.Addresses()) {
+    for (const std::string& address : mSimulation.Addresses()) {
       for (const std::string& note : Node(address).mNotes) {
         Log(address, note);
       }
@@ -128,7 +134,7 @@
   std::vector<std::string> Hosts(bool aControl, bool aRunning)
   {
     std::vector<std::string> hosts;
-    for (const std::string& address : mWorld.Addresses()) {
+    for (const std::string& address : mSimulation.Addresses()) {
       const FleetNode& node = Node(address);
       if (mRemoved.count(address) == 0 &&
           (node.mSettings.mControl || !aControl) &&
@@ -157,17 +163,17 @@
     mBusy.erase(aAddress);
     if (mRemoved.count(aAddress) == 0 && !Node(aAddress).mAlive) {
       Log(aAddress, "starts");
-      mWorld.Start(aAddress, false);
+      mSimulation.Start(aAddress, false);
       mVersions.erase(aAddress);
     }
   }
 
   void AddControl()
   {
-    mWorld.SetSeeds(ListedControl(mNewcomers));
+    mSimulation.SetSeeds(ListedControl(mNewcomers));
     const std::string address = "10.0.1." + std::to_string(++mNewcomers) + ":1";
-    mWorld.Add(address, true);
-    mWorld.Start(address, false);
+    mSimulation.Add(address, true);
+    mSimulation.Start(address, false);
   }
 
   // --- disks
@@ -176,7 +182,7 @@
   // without a leader that has committed its members.
   int DisksMissing()
   {
-    const std::string leader = mWorld.Leader();
+    const std::string leader = mSimulation.Leader();
     if (leader.empty()) {
       return mDisksLost;
     }
@@ -185,7 +191,7 @@
       return mDisksLost;
     }
     const int least = 2 * mSchedule.mTolerated + 1;
-    int missing = std::max(0, least - static_cast<int>(mWorld.Voters()));
+    int missing = std::max(0, least - static_cast<int>(mSimulation.Voters()));
     for (const wire::Member& member : group.mMembership.members()) {
       const bool there =
         mRemoved.count(member.address()) == 0 &&
@@ -263,9 +269,9 @@
     }
     Log(aHost, "is told to stop");
     mBusy.insert(aHost);
-    mWorld.Stop(aHost);
+    mSimulation.Stop(aHost);
     After(kStopTime, [this, aHost, aFor] {
-      mWorld.Kill(aHost);
+      mSimulation.Kill(aHost);
       After(aFor, [this, aHost] { StartAgain(aHost); });
     });
   }
@@ -280,7 +286,7 @@
     }
     mDisksLost += voter ? 1 : 0;
     Log(aHost, "goes for good");
-    mWorld.Kill(aHost);
+    mSimulation.Kill(aHost);
     mRemoved.insert(aHost);
     mBusy.erase(aHost);
     After(kSeedLag, [this] { Reseed(0); });
@@ -288,7 +294,7 @@
 
   bool IsVoter(const std::string& aHost)
   {
-    const std::vector<std::string> voters = mWorld.VoterAddresses();
+    const std::vector<std::string> voters = mSimulation.VoterAddresses();
     return voters.empty() ||
            std::count(voters.begin(), voters.end(), aHost) != 0;
   }
@@ -303,7 +309,7 @@
     After(std::max(kSecond, aFor), [this, aHost] {
       if (Node(aHost).mAlive) {
         Log(aHost, "is told to stop");
-        mWorld.Stop(aHost);
+        mSimulation.Stop(aHost);
       }
       After(kStopTime, [this, aHost] { Remove(aHost); });
     });
@@ -316,7 +322,7 @@
     }
     ++mDisksLost;
     Log(aHost, "goes for good");
-    mWorld.LosePower(aHost);
+    mSimulation.LosePower(aHost);
     mRemoved.insert(aHost);
     mCalm.LoseForGood();
     After(aFor, [this] {
@@ -334,13 +340,13 @@
     Log(aHost, aDisk ? "loses its disk" : "goes down");
     mBusy.insert(aHost);
     if (aPower) {
-      mWorld.LosePower(aHost);
+      mSimulation.LosePower(aHost);
     } else {
-      mWorld.Kill(aHost);
+      mSimulation.Kill(aHost);
     }
     if (aDisk) {
       ++mDisksLost;
-      mWorld.Wipe(aHost);
+      mSimulation.Wipe(aHost);
     }
     After(aFor, [this, aHost] { StartAgain(aHost); });
   }
@@ -348,21 +354,21 @@
   void LoseAllPower(Micros aFor, const std::string& aWiped)
   {
     for (const std::string& address : Hosts(false, true)) {
-      mWorld.LosePower(address);
+      mSimulation.LosePower(address);
       After(aFor, [this, address] { StartAgain(address); });
     }
     if (!aWiped.empty()) {
       Log(aWiped, "loses its disk");
       ++mDisksLost;
-      mWorld.Wipe(aWiped);
+      mSimulation.Wipe(aWiped);
     }
   }
 
   void Cut(const std::string& aHost, Micros aFor)
   {
     Log(aHost, "is cut off");
-    mWorld.mCutOff.insert(aHost);
-    After(aFor, [this, aHost] { mWorld.mCutOff.erase(aHost); });
+    mSimulation.mCutOff.insert(aHost);
+    After(aFor, [this, aHost] { mSimulation.mCutOff.erase(aHost); });
   }
 
   void CutHalves(std::uint64_t aPick, Micros aFor)
@@ -382,37 +388,38 @@
     std::mt19937_64 random(aPick);
     std::set<std::string> hosts;
     for (const std::string& address : Hosts(false, false)) {
-      if (!mWorld.IsControl(address) && random() % 10 < 4) {
+      if (!mSimulation.IsControl(address) && random() % 10 < 4) {
         hosts.insert(address);
       }
     }
     Log("schedule", "cuts off " + std::to_string(hosts.size()) + " hosts");
-    mWorld.mCutFromControl = hosts;
+    mSimulation.mCutFromControl = hosts;
     After(aFor, [this, hosts] {
-      if (mWorld.mCutFromControl == hosts) {
-        mWorld.mCutFromControl.clear();
+      if (mSimulation.mCutFromControl == hosts) {
+        mSimulation.mCutFromControl.clear();
       }
     });
   }
 
   bool IsBetweenHalves(const Sent& aSent)
   {
-    return mWorld.IsControl(aSent.mFrom) && mWorld.IsControl(aSent.mTo) &&
+    return mSimulation.IsControl(aSent.mFrom) &&
+           mSimulation.IsControl(aSent.mTo) &&
            mHalf.count(aSent.mFrom) != mHalf.count(aSent.mTo);
   }
 
   void Freeze(const std::string& aHost, Micros aFor)
   {
     Log(aHost, "freezes");
-    mWorld.mFrozen.insert(aHost);
-    After(aFor, [this, aHost] { mWorld.mFrozen.erase(aHost); });
+    mSimulation.mFrozen.insert(aHost);
+    After(aFor, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
   }
 
   void StallDisk(const std::string& aHost, Micros aFor)
   {
     Log(aHost, "has its disk stalled");
-    mWorld.mStalled.insert(aHost);
-    After(aFor, [this, aHost] { mWorld.mStalled.erase(aHost); });
+    mSimulation.mStalled.insert(aHost);
+    After(aFor, [this, aHost] { mSimulation.mStalled.erase(aHost); });
   }
 
   // Three of the control hosts that have not gone for good, running or not:
@@ -427,27 +434,27 @@
     return seeds;
   }
 
-  void Reseed(std::uint64_t aPick) { mWorld.Reseed(ListedControl(aPick)); }
+  void Reseed(std::uint64_t aPick) { mSimulation.Reseed(ListedControl(aPick)); }
 
   // --- changes of the policy all along
 
   void ChangePolicy()
   {
-    if (mSent || mWorld.mNow < mChangeAt) {
+    if (mSent || mSimulation.mNow < mChangeAt) {
       return;
     }
-    mChangeAt = mWorld.mNow + kChangePause;
+    mChangeAt = mSimulation.mNow + kChangePause;
     const std::vector<std::string> hosts = Hosts(false, true);
     if (hosts.empty()) {
       return;
     }
     const std::string& host = hosts[++mTurn % hosts.size()];
-    if (mWorld.mFrozen.count(host) != 0) {
+    if (mSimulation.mFrozen.count(host) != 0) {
       return;
     }
     const std::uint64_t base = Node(host).mState.mCatalog.mVersion;
     const std::uint64_t version = ++mLastVersion;
-    const std::uint64_t id = mWorld.Submit(
+    const std::uint64_t id = mSimulation.Submit(
       host, PutPolicyCommand(version, base, std::to_string(version)));
     mSent = { host, Node(host).mSettings.mIncarnation, id, version };
   }
@@ -469,7 +476,7 @@
     const fleet::Done& end = done->second;
     if (end.mEnd == fleet::SubmitEnd::Committed && end.mOutcome.accepted()) {
       mAcknowledged = std::max(mAcknowledged, mSent->mVersion);
-      mAcknowledgedAt.emplace(mAcknowledged, mWorld.mNow);
+      mAcknowledgedAt.emplace(mAcknowledged, mSimulation.mNow);
     }
     mSent.reset();
   }
@@ -505,7 +512,7 @@
   {
     std::uint64_t wanted = 0;
     for (const auto& [version, at] : mAcknowledgedAt) {
-      wanted = mWorld.mNow - at > kInForceWithin ? version : wanted;
+      wanted = mSimulation.mNow - at > kInForceWithin ? version : wanted;
     }
     mAcknowledgedAt.erase(mAcknowledgedAt.begin(),
                           mAcknowledgedAt.lower_bound(wanted));
@@ -515,11 +522,12 @@
       const bool must = mCalm.IsCalm(address) && !IsBeyondReach(address);
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
       if (calm && must && version < wanted) {
-        mFault = address + " acts by version " + std::to_string(version) +
-                 ", " + std::to_string(wanted) + " was acknowledged " +
-                 std::to_string((mWorld.mNow - mAcknowledgedAt.at(wanted)) /
-                                kMillisecond) +
-                 " ms ago";
+        mFault =
+          address + " acts by version " + std::to_string(version) + ", " +
+          std::to_string(wanted) + " was acknowledged " +
+          std::to_string((mSimulation.mNow - mAcknowledgedAt.at(wanted)) /
+                         kMillisecond) +
+          " ms ago";
       }
     }
   }
@@ -527,14 +535,14 @@
   void EndFaults()
   {
     Log("schedule", "faults end");
-    mWorld.mCutOff.clear();
+    mSimulation.mCutOff.clear();
     mHalf.clear();
-    mWorld.mCutFromControl.clear();
-    mWorld.mFrozen.clear();
-    mWorld.mStalled.clear();
+    mSimulation.mCutFromControl.clear();
+    mSimulation.mFrozen.clear();
+    mSimulation.mStalled.clear();
     // Stops and starts that are under way come to their end.
-    const Micros end = mWorld.mNow + kStopTime + 3 * kSecond;
-    while (!mLater.empty() && mWorld.mNow < end && mFault.empty()) {
+    const Micros end = mSimulation.mNow + kStopTime + 3 * kSecond;
+    while (!mLater.empty() && mSimulation.mNow < end && mFault.empty()) {
       Pass(kLookPause);
     }
   }
@@ -553,7 +561,7 @@
 
   std::string Missing()
   {
-    const std::string leader = mWorld.Leader();
+    const std::string leader = mSimulation.Leader();
     if (leader.empty()) {
       return "there is no leader";
     }
@@ -562,7 +570,7 @@
       if (IsBeyondReach(address)) {
         continue;
       }
-      if (!fleet::IsInTouch(state, mWorld.mNow) && !state.mStopping) {
+      if (!fleet::IsInTouch(state, mSimulation.mNow) && !state.mStopping) {
         return address + " is out of touch";
       }
       if (state.mCatalog.mVersion < mAcknowledged) {
@@ -572,7 +580,7 @@
       }
     }
     const fleet::GroupHealth health =
-      fleet::HealthOf(Node(leader).mState, mWorld.mNow);
+      fleet::HealthOf(Node(leader).mState, mSimulation.mNow);
     if (health.mTolerated < mSchedule.mTolerated) {
       return "the group of " + std::to_string(health.mVoters) + ", " +
              std::to_string(health.mAnswering) + " there, tolerates " +
@@ -584,9 +592,9 @@
   void Settle()
   {
     EndFaults();
-    const Micros end = mWorld.mNow + kSettleTime;
+    const Micros end = mSimulation.mNow + kSettleTime;
     std::string missing = Missing();
-    while (!missing.empty() && mWorld.mNow < end && mFault.empty()) {
+    while (!missing.empty() && mSimulation.mNow < end && mFault.empty()) {
       Pass(kLookPause);
       missing = Missing();
     }
@@ -596,7 +604,7 @@
   }
 
   const FleetSchedule& mSchedule;
-  FleetWorld mWorld;
+  FleetSimulation mSimulation;
   FleetCalm mCalm;
   PolicyReaders mReaders;
   std::ostream* mLog = nullptr;
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-FleetWorld::FleetWorld(std::uint64_t aSeed)
+FleetSimulation::FleetSimulation(std::uint64_t aSeed)
   : mRandom(aSeed)
 {
 }
 
-void FleetWorld::Add(const std::string& aAddress,
-                     bool aDisk,
-                     const std::string& aDataCentre)
+void FleetSimulation::Add(const std::string& aAddress,
+                          bool aDisk,
+                          const std::string& aDataCentre)
 {
   FleetNode& node = mNodes[aAddress];
   node.mSettings.mPeerAddress = aAddress;
@@ -32,7 +32,7 @@
   node.mSettings.mToleratedLosses = mTolerated;
 }
 
-void FleetWorld::Reseed(const std::vector<std::string>& aSeeds)
+void FleetSimulation::Reseed(const std::vector<std::string>& aSeeds)
 {
   SetSeeds(aSeeds);
   for (auto& [address, node] : mNodes) {
@@ -40,7 +40,7 @@
   }
 }
 
-void FleetWorld::Start(const std::string& aAddress, bool aFounding)
+void FleetSimulation::Start(const std::string& aAddress, bool aFounding)
 {
   FleetNode& node = mNodes.at(aAddress);
   node.mSettings.mIncarnation = ++mIncarnation;
@@ -62,7 +62,7 @@
   Take(aAddress, output);
 }
 
-void FleetWorld::Found(int aDisks, int aOthers, int aToleratedLosses)
+void FleetSimulation::Found(int aDisks, int aOthers, int aToleratedLosses)
 {
   mTolerated = aToleratedLosses;
   for (int i = 1; i <= std::min(3, aDisks); ++i) {
@@ -76,9 +76,9 @@
   }
 }
 
-void FleetWorld::FoundSpread(int aDataCentres,
-                             int aOthers,
-                             int aToleratedLosses)
+void FleetSimulation::FoundSpread(int aDataCentres,
+                                  int aOthers,
+                                  int aToleratedLosses)
 {
   mTolerated = aToleratedLosses;
   const auto control = [](int aIndex) {
@@ -101,14 +101,14 @@
   }
 }
 
-void FleetWorld::Stop(const std::string& aAddress)
+void FleetSimulation::Stop(const std::string& aAddress)
 {
   fleet::Output output;
   fleet::BeginStop(mNodes.at(aAddress).mState, mNow, output);
   Take(aAddress, output);
 }
 
-void FleetWorld::LosePower(const std::string& aAddress)
+void FleetSimulation::LosePower(const std::string& aAddress)
 {
   FleetNode& node = mNodes.at(aAddress);
   node.mAlive = false;
@@ -119,7 +119,7 @@
   }
 }
 
-void FleetWorld::Wipe(const std::string& aAddress)
+void FleetSimulation::Wipe(const std::string& aAddress)
 {
   FleetNode& node = mNodes.at(aAddress);
   node.mUnsynced.clear();
@@ -127,7 +127,7 @@
   node.mSyncedDisk = consensus::Recovered();
 }
 
-void FleetWorld::Sync(FleetNode& aNode, std::uint64_t aSequence)
+void FleetSimulation::Sync(FleetNode& aNode, std::uint64_t aSequence)
 {
   while (!aNode.mUnsynced.empty() &&
          aNode.mUnsynced.front().mSequence <= aSequence) {
@@ -136,7 +136,8 @@
   }
 }
 
-void FleetWorld::Take(const std::string& aAddress, const fleet::Output& aOutput)
+void FleetSimulation::Take(const std::string& aAddress,
+                           const fleet::Output& aOutput)
 {
   FleetNode& node = mNodes.at(aAddress);
   for (const consensus::Write& write : aOutput.mWrites) {
@@ -165,7 +166,7 @@
   }
 }
 
-void FleetWorld::ForgeReply(const Sent& aCheck)
+void FleetSimulation::ForgeReply(const Sent& aCheck)
 {
   const wire::ConsensusMessage& check = aCheck.mMessage.consensus();
   Sent reply;
@@ -181,14 +182,16 @@
   mQueue.emplace(mNow + kTrip, std::move(reply));
 }
 
-bool FleetWorld::IsCut(const std::string& aFrom, const std::string& aTo) const
+bool FleetSimulation::IsCut(const std::string& aFrom,
+                            const std::string& aTo) const
 {
   return mCutOff.count(aFrom) + mCutOff.count(aTo) != 0 ||
          (mCutFromControl.count(aFrom) != 0 && IsControl(aTo)) ||
          (mCutFromControl.count(aTo) != 0 && IsControl(aFrom));
 }
 
-void FleetWorld::Charge(FleetNode& aNode, const wire::FleetMessage& aMessage)
+void FleetSimulation::Charge(FleetNode& aNode,
+                             const wire::FleetMessage& aMessage)
 {
   const Micros each =
     aNode.mSettings.mControl ? mWork.mControlMessage : mWork.mOtherMessage;
@@ -198,12 +201,12 @@
 }
 
 // What a step's messages take is done within it.
-bool FleetWorld::IsFree(const FleetNode& aNode) const
+bool FleetSimulation::IsFree(const FleetNode& aNode) const
 {
   return aNode.mBusyUntil < mNow + kStepTime;
 }
 
-void FleetWorld::TakeArrived(const std::string& aAddress, FleetNode& aNode)
+void FleetSimulation::TakeArrived(const std::string& aAddress, FleetNode& aNode)
 {
   while (aNode.mAlive && !aNode.mInbox.IsEmpty() && IsFree(aNode)) {
     for (const wire::FleetMessage& message : aNode.mInbox.Take(1)) {
@@ -215,7 +218,7 @@
   }
 }
 
-void FleetWorld::SyncDue()
+void FleetSimulation::SyncDue()
 {
   while (!mSyncs.empty() && mSyncs.begin()->first <= mNow) {
     const PendingSync sync = mSyncs.begin()->second;
@@ -235,7 +238,7 @@
   }
 }
 
-void FleetWorld::Advance(Micros aTime)
+void FleetSimulation::Advance(Micros aTime)
 {
   const Micros end = mNow + aTime;
   while (mNow < end) {
@@ -266,7 +269,8 @@
   }
 }
 
-bool FleetWorld::Until(Micros aMost, const std::function<bool()>& aCondition)
+bool FleetSimulation::Until(Micros aMost,
+                            const std::function<bool()>& aCondition)
 {
   const Micros end = mNow + aMost;
   while (!aCondition()) {
@@ -278,8 +282,8 @@
   return true;
 }
 
-std::uint64_t FleetWorld::Submit(const std::string& aAddress,
-                                 const wire::CatalogCommand& aCommand)
+std::uint64_t FleetSimulation::Submit(const std::string& aAddress,
+                                      const wire::CatalogCommand& aCommand)
 {
   fleet::Output output;
   const std::uint64_t id = fleet::Submit(
@@ -288,8 +292,8 @@
   return id;
 }
 
-bool FleetWorld::Commit(const std::string& aAddress,
-                        const wire::CatalogCommand& aCommand)
+bool FleetSimulation::Commit(const std::string& aAddress,
+                             const wire::CatalogCommand& aCommand)
 {
   const std::uint64_t id = Submit(aAddress, aCommand);
   FleetNode& node = mNodes.at(aAddress);
@@ -300,7 +304,7 @@
          found->second.mOutcome.accepted();
 }
 
-std::uint64_t FleetWorld::WordsAsked() const
+std::uint64_t FleetSimulation::WordsAsked() const
 {
   std::uint64_t asked = 0;
   for (const auto& [address, node] : mNodes) {
@@ -309,7 +313,7 @@
   return asked;
 }
 
-std::string FleetWorld::Leader() const
+std::string FleetSimulation::Leader() const
 {
   for (const auto& [address, node] : mNodes) {
     if (node.mAlive && mCutOff.count(address) == 0 &&
@@ -320,7 +324,7 @@
   return "";
 }
 
-std::vector<std::string> FleetWorld::VoterAddresses() const
+std::vector<std::string> FleetSimulation::VoterAddresses() const
 {
   std::vector<std::string> voters;
   const std::string leader = Leader();
@@ -336,7 +340,7 @@
   return voters;
 }
 
-std::vector<std::string> FleetWorld::Addresses() const
+std::vector<std::string> FleetSimulation::Addresses() const
 {
   std::vector<std::string> addresses;
   addresses.reserve(mNodes.size());
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -59,10 +59,10 @@
 };
 
 /// \brief The whole fleet.
-class FleetWorld
+class FleetSimulation
 {
 public:
-  explicit FleetWorld(std::uint64_t aSeed = 1);
+  explicit FleetSimulation(std::uint64_t aSeed = 1);
 
   /// \brief Adds a host that is not started yet; those with a disk vote.
   void Add(const std::string& aAddress,
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-FleetCalm::FleetCalm(FleetWorld& aWorld, int aTolerated)
-  : mWorld(aWorld)
+FleetCalm::FleetCalm(FleetSimulation& aSimulation, int aTolerated)
+  : mSimulation(aSimulation)
   , mTolerated(aTolerated)
 {
 }
@@ -22,33 +22,34 @@
 void FleetCalm::Replace()
 {
   mUnreplaced = std::max(0, mUnreplaced - 1);
-  mReplacedAt.push_back(mWorld.mNow);
+  mReplacedAt.push_back(mSimulation.mNow);
 }
 
 std::string FleetCalm::ConditionOf(const std::string& aAddress) const
 {
-  const FleetNode& node = mWorld.At(aAddress);
+  const FleetNode& node = mSimulation.At(aAddress);
   return std::to_string(node.mAlive ? node.mSettings.mIncarnation : 0) +
          (node.mState.mStopping ? " stops" : "") +
-         (mWorld.mCutOff.count(aAddress) != 0 ? " cut" : "") +
-         (mWorld.mFrozen.count(aAddress) != 0 ? " frozen" : "") +
-         (mWorld.mStalled.count(aAddress) != 0 ? " stalled" : "") +
-         (mWorld.mCutFromControl.count(aAddress) != 0 ? " cut from control"
-                                                      : "");
+         (mSimulation.mCutOff.count(aAddress) != 0 ? " cut" : "") +
+         (mSimulation.mFrozen.count(aAddress) != 0 ? " frozen" : "") +
+         (mSimulation.mStalled.count(aAddress) != 0 ? " stalled" : "") +
+         (mSimulation.mCutFromControl.count(aAddress) != 0 ? " cut from control"
+                                                           : "");
 }
 
 bool FleetCalm::IsThere(const std::string& aAddress) const
 {
-  return mWorld.At(aAddress).mAlive && mWorld.mCutOff.count(aAddress) == 0 &&
-         mWorld.mFrozen.count(aAddress) == 0 &&
-         mWorld.mStalled.count(aAddress) == 0;
+  return mSimulation.At(aAddress).mAlive &&
+         mSimulation.mCutOff.count(aAddress) == 0 &&
+         mSimulation.mFrozen.count(aAddress) == 0 &&
+         mSimulation.mStalled.count(aAddress) == 0;
 }
 
 Micros FleetCalm::Since(const std::string& aWho, const std::string& aCondition)
 {
   Condition& known = mConditions[aWho];
   if (known.mText != aCondition) {
-    known = { aCondition, mWorld.mNow };
+    known = { aCondition, mSimulation.mNow };
   }
   return known.mSince;
 }
@@ -56,15 +57,15 @@
 bool FleetCalm::IsCalm(const std::string& aAddress)
 {
   const Micros since = Since(aAddress, ConditionOf(aAddress));
-  return mWorld.mNow - since > kContact &&
-         !mWorld.At(aAddress).mState.mStopping &&
-         mWorld.mCutFromControl.count(aAddress) == 0 && IsThere(aAddress);
+  return mSimulation.mNow - since > kContact &&
+         !mSimulation.At(aAddress).mState.mStopping &&
+         mSimulation.mCutFromControl.count(aAddress) == 0 && IsThere(aAddress);
 }
 
 bool FleetCalm::IsLost(const std::string& aAddress)
 {
   const Micros since = Since(aAddress, ConditionOf(aAddress));
-  return !IsThere(aAddress) || mWorld.mNow - since < kCatchUp;
+  return !IsThere(aAddress) || mSimulation.mNow - since < kCatchUp;
 }
 
 bool FleetCalm::IsGroupCalm(const std::vector<std::string>& aControl,
@@ -78,10 +79,11 @@
   }
   lost += static_cast<int>(
     std::count_if(mReplacedAt.begin(), mReplacedAt.end(), [this](Micros aAt) {
-      return mWorld.mNow - aAt < kCatchUp;
+      return mSimulation.mNow - aAt < kCatchUp;
     }));
   const Micros since = Since("group", all);
-  return aCuts.empty() && lost <= mTolerated && mWorld.mNow - since > kContact;
+  return aCuts.empty() && lost <= mTolerated &&
+         mSimulation.mNow - since > kContact;
 }
 
 } // namespace geraniumpond::fakes
--- a/tests/fakes/fleet_stability.h
+++ b/tests/fakes/fleet_stability.h
@@ -16,7 +16,7 @@
 class FleetCalm
 {
 public:
-  FleetCalm(FleetWorld& aWorld, int aTolerated);
+  FleetCalm(FleetSimulation& aSimulation, int aTolerated);
 
   /// \brief A control host is gone for good and nothing counts in its place
   /// until a newcomer starts.
@@ -43,7 +43,7 @@
   [[nodiscard]] Micros Since(const std::string& aWho,
                              const std::string& aCondition);
 
-  FleetWorld& mWorld;
+  FleetSimulation& mSimulation;
   int mTolerated = 0;
   int mUnreplaced = 0;
   std::vector<Micros> mReplacedAt;
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-PolicyReaders::PolicyReaders(FleetWorld& aWorld, std::uint64_t aSeed)
-  : mWorld(aWorld)
+PolicyReaders::PolicyReaders(FleetSimulation& aSimulation, std::uint64_t aSeed)
+  : mSimulation(aSimulation)
   , mRandom(aSeed)
 {
 }
@@ -20,14 +20,15 @@
 {
   wire::CatalogCommand read;
   read.mutable_read_barrier();
-  const std::uint64_t id = mWorld.Submit(aHost, read);
-  const std::uint64_t incarnation = mWorld.Node(aHost).mSettings.mIncarnation;
+  const std::uint64_t id = mSimulation.Submit(aHost, read);
+  const std::uint64_t incarnation =
+    mSimulation.Node(aHost).mSettings.mIncarnation;
   mSent.push_back({ aHost, incarnation, id, aAcknowledged });
 }
 
 bool PolicyReaders::TakeEnd(const SentRead& aRead, std::string& aFault)
 {
-  const FleetNode& node = mWorld.Node(aRead.mHost);
+  const FleetNode& node = mSimulation.Node(aRead.mHost);
   if (!node.mAlive || node.mSettings.mIncarnation != aRead.mIncarnation) {
     return true;
   }
@@ -57,10 +58,10 @@
                 mSent.end(),
                 [&](const SentRead& aRead) { return TakeEnd(aRead, fault); }),
               mSent.end());
-  if (mWorld.mNow >= mNextAt && !aHosts.empty()) {
-    mNextAt = mWorld.mNow + kReadPause;
+  if (mSimulation.mNow >= mNextAt && !aHosts.empty()) {
+    mNextAt = mSimulation.mNow + kReadPause;
     const std::string& host = aHosts[mRandom() % aHosts.size()];
-    if (mWorld.mFrozen.count(host) == 0) {
+    if (mSimulation.mFrozen.count(host) == 0) {
       Send(host, aAcknowledged);
     }
   }
--- a/tests/fakes/policy_readers.h
+++ b/tests/fakes/policy_readers.h
@@ -14,7 +14,7 @@
 class PolicyReaders
 {
 public:
-  PolicyReaders(FleetWorld& aWorld, std::uint64_t aSeed);
+  PolicyReaders(FleetSimulation& aSimulation, std::uint64_t aSeed);
 
   /// \brief Sends a read to one of these hosts when it is time, and takes the
   /// ends of those before; what is wrong, empty for nothing.
@@ -38,7 +38,7 @@
   /// \brief True where the read has ended, or nobody is left who waits for it.
   bool TakeEnd(const SentRead& aRead, std::string& aFault);
 
-  FleetWorld& mWorld;
+  FleetSimulation& mSimulation;
   std::mt19937_64 mRandom;
   Micros mNextAt = 0;
   std::vector<SentRead> mSent;
--- a/tests/fleet_cut_test.cpp
+++ b/tests/fleet_cut_test.cpp
@@ -7,7 +7,7 @@
 
 namespace geraniumpond::fleet {
 
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::PutPolicyCommand;
 using fakes::PutTargetCommand;
 
@@ -49,8 +49,8 @@
     for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
       Begin(seed, 3, 94);
       CPPUNIT_ASSERT(
-        mWorld.Commit("10.0.0.1:1", PutTargetCommand("t", 1, false)));
-      mWorld.Advance(kSecond);
+        mSimulation.Commit("10.0.0.1:1", PutTargetCommand("t", 1, false)));
+      mSimulation.Advance(kSecond);
       ChangeBesideACut(PutTargetCommand("t", 2, true));
       ExpectAtHostsNotCutOff(seed, [](const catalog::State& aCatalog) {
         return aCatalog.mTargets.at("t").draining();
@@ -73,14 +73,15 @@
   void Begin(std::uint64_t aSeed, int aDataCentres, int aOthers)
   {
     mRandom.seed(aSeed);
-    mWorld = FleetWorld(aSeed);
-    mWorld.FoundSpread(aDataCentres, aOthers, (aDataCentres - 1) / 2);
-    CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] {
-      return mWorld.Voters() == static_cast<std::size_t>(aDataCentres);
+    mSimulation = FleetSimulation(aSeed);
+    mSimulation.FoundSpread(aDataCentres, aOthers, (aDataCentres - 1) / 2);
+    CPPUNIT_ASSERT(mSimulation.Until(10 * kSecond, [&] {
+      return mSimulation.Voters() == static_cast<std::size_t>(aDataCentres);
     }));
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
     // The tree has its shape, and hosts are anywhere between two reports.
-    mWorld.Advance(10 * kSecond + Below(kSecond));
+    mSimulation.Advance(10 * kSecond + Below(kSecond));
   }
 
   Micros Below(Micros aBound)
@@ -91,47 +92,49 @@
   // Of four in ten hosts without a disk.
   void CutSome()
   {
-    for (const std::string& address : mWorld.Addresses()) {
-      if (!mWorld.IsControl(address) && mRandom() % 10 < 4) {
-        mWorld.mCutFromControl.insert(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      if (!mSimulation.IsControl(address) && mRandom() % 10 < 4) {
+        mSimulation.mCutFromControl.insert(address);
       }
     }
   }
 
   void ChangeBesideACut(const wire::CatalogCommand& aCommand)
   {
-    const std::string leader = mWorld.Leader();
+    const std::string leader = mSimulation.Leader();
     const bool cutFirst = mRandom() % 2 == 0;
     if (cutFirst) {
       CutSome();
-      mWorld.Advance(Below(kAround));
+      mSimulation.Advance(Below(kAround));
     }
-    const std::uint64_t id = mWorld.Submit(leader, aCommand);
+    const std::uint64_t id = mSimulation.Submit(leader, aCommand);
     if (!cutFirst) {
-      mWorld.Advance(Below(kAround / 4));
+      mSimulation.Advance(Below(kAround / 4));
       CutSome();
     }
-    const auto& done = mWorld.Node(leader).mDone;
-    CPPUNIT_ASSERT(mWorld.Until(kSecond, [&] { return done.count(id) != 0; }));
+    const auto& done = mSimulation.Node(leader).mDone;
+    CPPUNIT_ASSERT(
+      mSimulation.Until(kSecond, [&] { return done.count(id) != 0; }));
     CPPUNIT_ASSERT(done.at(id).mOutcome.accepted());
-    mAcknowledgedAt = mWorld.mNow;
+    mAcknowledgedAt = mSimulation.mNow;
   }
 
   template<class Condition>
   void ExpectAtHostsNotCutOff(std::uint64_t aSeed, Condition aHolds)
   {
-    mWorld.Advance(mAcknowledgedAt + kInForceWithin - mWorld.mNow);
+    mSimulation.Advance(mAcknowledgedAt + kInForceWithin - mSimulation.mNow);
     int behind = 0;
-    for (const std::string& address : mWorld.Addresses()) {
-      const catalog::State& catalog = mWorld.Node(address).mState.mCatalog;
+    for (const std::string& address : mSimulation.Addresses()) {
+      const catalog::State& catalog = mSimulation.Node(address).mState.mCatalog;
       behind +=
-        mWorld.mCutFromControl.count(address) == 0 && !aHolds(catalog) ? 1 : 0;
+        mSimulation.mCutFromControl.count(address) == 0 && !aHolds(catalog) ? 1
+                                                                            : 0;
     }
     CPPUNIT_ASSERT_EQUAL_MESSAGE(
       "hosts behind, seed " + std::to_string(aSeed), 0, behind);
   }
 
-  FleetWorld mWorld;
+  FleetSimulation mSimulation;
   std::mt19937_64 mRandom;
   Micros mAcknowledgedAt = 0;
 };
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -6,7 +6,7 @@
 
 namespace geraniumpond::fleet {
 
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::PutPolicyCommand;
 
 namespace {
@@ -78,10 +78,11 @@
   {
     for (int leaves = 1; leaves <= 3; ++leaves) {
       for (const std::string& wiped : OthersThan(leaves)) {
-        FleetWorld world = Replaced(leaves);
-        CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-        LoseAllPower(world, leaves, wiped);
-        AssertServes(world, leaves, 2, "wiped " + wiped);
+        FleetSimulation simulation = Replaced(leaves);
+        CPPUNIT_ASSERT(
+          simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
+        LoseAllPower(simulation, leaves, wiped);
+        AssertServes(simulation, leaves, 2, "wiped " + wiped);
       }
     }
   }
@@ -89,14 +90,16 @@
   void HostReplacedAsPlannedThenOneDiskLostKeepsCommitting()
   {
     for (const std::string& wiped : OthersThan(1)) {
-      FleetWorld world = Replaced(1);
-      CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-      world.LosePower(wiped);
-      world.Wipe(wiped);
-      world.Advance(kSecond);
-      world.Start(wiped, false);
-      AssertServes(world, 1, 2, "wiped " + wiped);
-      CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(3, 2, "three")));
+      FleetSimulation simulation = Replaced(1);
+      CPPUNIT_ASSERT(
+        simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
+      simulation.LosePower(wiped);
+      simulation.Wipe(wiped);
+      simulation.Advance(kSecond);
+      simulation.Start(wiped, false);
+      AssertServes(simulation, 1, 2, "wiped " + wiped);
+      CPPUNIT_ASSERT(
+        simulation.Commit(kFollower, PutPolicyCommand(3, 2, "three")));
     }
   }
 
@@ -104,14 +107,14 @@
   {
     for (int ms = 5; ms <= 400; ms += 79) {
       for (const std::string& wiped : OthersThan(1)) {
-        FleetWorld world = Replaced(1);
+        FleetSimulation simulation = Replaced(1);
         const std::uint64_t id =
-          world.Submit(kFollower, PutPolicyCommand(2, 1, "two"));
-        world.Advance(ms * kMillisecond);
-        const auto& done = world.Node(kFollower).mDone;
+          simulation.Submit(kFollower, PutPolicyCommand(2, 1, "two"));
+        simulation.Advance(ms * kMillisecond);
+        const auto& done = simulation.Node(kFollower).mDone;
         const bool acknowledged = done.count(id) != 0;
-        LoseAllPower(world, 1, wiped);
-        AssertServes(world,
+        LoseAllPower(simulation, 1, wiped);
+        AssertServes(simulation,
                      1,
                      acknowledged ? 2 : 1,
                      "wiped " + wiped + " after ms " + std::to_string(ms));
@@ -122,20 +125,21 @@
   void HostsReplacedInARowLeaveAWholeGroup()
   {
     for (const int count : { 2, 4 }) {
-      FleetWorld world = Founded();
+      FleetSimulation simulation = Founded();
       std::vector<std::string> control = { Founder(1), Founder(2), Founder(3) };
       for (int i = 0; i < count; ++i) {
         const std::string next = "10.0.1." + std::to_string(i + 1) + ":1";
-        world.SetSeeds(control);
-        Join(world, next);
-        Leave(world, control.front());
+        simulation.SetSeeds(control);
+        Join(simulation, next);
+        Leave(simulation, control.front());
         control.erase(control.begin());
         control.push_back(next);
       }
-      CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-      CPPUNIT_ASSERT_EQUAL(std::size_t(3), world.Voters());
+      CPPUNIT_ASSERT(
+        simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
+      CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
       for (const std::string& address : control) {
-        CPPUNIT_ASSERT_MESSAGE(address, IsVoter(world, address));
+        CPPUNIT_ASSERT_MESSAGE(address, IsVoter(simulation, address));
       }
     }
   }
@@ -144,31 +148,31 @@
   // of two disks left four of the five that are needed.
   void TwoOfSixReplacedThenTwoDisksLostKeepsTheChange()
   {
-    FleetWorld world(7);
-    world.Found(6, 3, 2);
+    FleetSimulation simulation(7);
+    simulation.Found(6, 3, 2);
     CPPUNIT_ASSERT(
-      world.Until(10 * kSecond, [&] { return world.Voters() == 6; }));
-    CPPUNIT_ASSERT(world.Commit(kReader, PutPolicyCommand(1, 0, "one")));
-    world.SetSeeds({ Founder(3), Founder(4), Founder(5) });
-    Join(world, "10.0.1.1:1");
-    Join(world, "10.0.1.2:1");
-    Leave(world, Founder(1));
-    Leave(world, Founder(2));
-    CPPUNIT_ASSERT(world.Commit(kReader, PutPolicyCommand(2, 1, "two")));
+      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 6; }));
+    CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(1, 0, "one")));
+    simulation.SetSeeds({ Founder(3), Founder(4), Founder(5) });
+    Join(simulation, "10.0.1.1:1");
+    Join(simulation, "10.0.1.2:1");
+    Leave(simulation, Founder(1));
+    Leave(simulation, Founder(2));
+    CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(2, 1, "two")));
     for (const std::string& wiped : { Founder(3), Founder(6) }) {
-      world.LosePower(wiped);
-      world.Wipe(wiped);
+      simulation.LosePower(wiped);
+      simulation.Wipe(wiped);
     }
-    world.Advance(kSecond);
+    simulation.Advance(kSecond);
     for (const std::string& wiped : { Founder(3), Founder(6) }) {
-      world.Start(wiped, false);
+      simulation.Start(wiped, false);
     }
     wire::CatalogCommand read;
     read.mutable_read_barrier();
-    CPPUNIT_ASSERT(
-      world.Until(kBackTime, [&] { return world.Commit(kReader, read); }));
+    CPPUNIT_ASSERT(simulation.Until(
+      kBackTime, [&] { return simulation.Commit(kReader, read); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2),
-                         world.Node(kReader).mState.mCatalog.mVersion);
+                         simulation.Node(kReader).mState.mCatalog.mVersion);
   }
 
   // One of three voters loses its disk. A host that has just joined goes again
@@ -182,20 +186,21 @@
   void NewcomerThatGoesAgainLeavesTheGroupAsItWas()
   {
     for (int lost = 1; lost <= 3; ++lost) {
-      FleetWorld world = Founded();
-      world.LosePower(Founder(lost));
-      world.Wipe(Founder(lost));
-      CPPUNIT_ASSERT(
-        world.Until(kBackTime, [&] { return !world.Leader().empty(); }));
-      world.Add(kNewcomer, true);
-      world.Start(kNewcomer, false);
-      world.Advance(700 * kMillisecond);
-      world.LosePower(kNewcomer);
-      world.Start(Founder(lost), false);
-      CPPUNIT_ASSERT_MESSAGE(Founder(lost), world.Until(kBackTime, [&] {
-        return world.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
+      FleetSimulation simulation = Founded();
+      simulation.LosePower(Founder(lost));
+      simulation.Wipe(Founder(lost));
+      CPPUNIT_ASSERT(simulation.Until(
+        kBackTime, [&] { return !simulation.Leader().empty(); }));
+      simulation.Add(kNewcomer, true);
+      simulation.Start(kNewcomer, false);
+      simulation.Advance(700 * kMillisecond);
+      simulation.LosePower(kNewcomer);
+      simulation.Start(Founder(lost), false);
+      CPPUNIT_ASSERT_MESSAGE(Founder(lost), simulation.Until(kBackTime, [&] {
+        return simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
       }));
-      CPPUNIT_ASSERT(world.Until(kWholeTime, [&] { return IsWhole(world); }));
+      CPPUNIT_ASSERT(
+        simulation.Until(kWholeTime, [&] { return IsWhole(simulation); }));
     }
   }
 
@@ -204,16 +209,17 @@
   {
     for (Micros after = 2400 * kMillisecond; after < 2800 * kMillisecond;
          after += 4 * kMillisecond) {
-      FleetWorld world = Founded();
-      const std::string lost = Founder(world.Leader() == Founder(1) ? 2 : 1);
-      world.LosePower(lost);
-      world.Add(kNewcomer, true);
-      world.Start(kNewcomer, false);
-      world.Advance(after);
-      world.LosePower(kNewcomer);
+      FleetSimulation simulation = Founded();
+      const std::string lost =
+        Founder(simulation.Leader() == Founder(1) ? 2 : 1);
+      simulation.LosePower(lost);
+      simulation.Add(kNewcomer, true);
+      simulation.Start(kNewcomer, false);
+      simulation.Advance(after);
+      simulation.LosePower(kNewcomer);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(after / kMillisecond) + " ms",
-                             world.Until(kBackTime, [&] {
-                               return world.Commit(
+                             simulation.Until(kBackTime, [&] {
+                               return simulation.Commit(
                                  kFollower, PutPolicyCommand(2, 1, "two"));
                              }));
     }
@@ -229,15 +235,16 @@
     int led = 0;
     for (int ahead = 2; ahead <= 18; ahead += 2) {
       const std::string without = Founder(2);
-      FleetWorld world = StartedWithoutAVote(without, ahead * kMillisecond);
-      (void)world.Until(100 * kMillisecond,
-                        [&] { return !world.Leader().empty(); });
-      if (world.Leader() != without) {
+      FleetSimulation simulation =
+        StartedWithoutAVote(without, ahead * kMillisecond);
+      (void)simulation.Until(100 * kMillisecond,
+                             [&] { return !simulation.Leader().empty(); });
+      if (simulation.Leader() != without) {
         continue;
       }
       ++led;
-      CPPUNIT_ASSERT(world.Until(200 * kMillisecond, [&] {
-        return !world.Leader().empty() && world.Leader() != without;
+      CPPUNIT_ASSERT(simulation.Until(200 * kMillisecond, [&] {
+        return !simulation.Leader().empty() && simulation.Leader() != without;
       }));
     }
     CPPUNIT_ASSERT(led > 0);
@@ -246,11 +253,12 @@
   void VoterThatStopsLeavesBeforeItExits()
   {
     for (int leaves = 1; leaves <= 3; ++leaves) {
-      FleetWorld world = Founded();
-      Join(world, kNewcomer);
-      world.Stop(Founder(leaves));
-      CPPUNIT_ASSERT(world.Until(kStopTime, [&] {
-        return world.Voters() == 3 && !IsVoter(world, Founder(leaves));
+      FleetSimulation simulation = Founded();
+      Join(simulation, kNewcomer);
+      simulation.Stop(Founder(leaves));
+      CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
+        return simulation.Voters() == 3 &&
+               !IsVoter(simulation, Founder(leaves));
       }));
     }
   }
@@ -258,11 +266,11 @@
   void VoterSilentForGoodLeavesWhereOthersAreEnough()
   {
     for (int lost = 1; lost <= 3; ++lost) {
-      FleetWorld world = Founded();
-      Join(world, kNewcomer);
-      world.Kill(Founder(lost));
-      CPPUNIT_ASSERT(world.Until(kWholeTime, [&] {
-        return world.Voters() == 3 && !IsVoter(world, Founder(lost));
+      FleetSimulation simulation = Founded();
+      Join(simulation, kNewcomer);
+      simulation.Kill(Founder(lost));
+      CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+        return simulation.Voters() == 3 && !IsVoter(simulation, Founder(lost));
       }));
     }
   }
@@ -271,20 +279,20 @@
   void GroupNeverShrinksBelowWhatLossesNeed()
   {
     for (const bool planned : { false, true }) {
-      FleetWorld world = Founded();
+      FleetSimulation simulation = Founded();
       const std::string lost = Founder(2);
       if (planned) {
-        world.Stop(lost);
-        world.Advance(kStopTime);
+        simulation.Stop(lost);
+        simulation.Advance(kStopTime);
       }
-      world.Kill(lost);
-      world.Advance(60 * kSecond);
-      CPPUNIT_ASSERT_EQUAL(std::size_t(3), world.Voters());
+      simulation.Kill(lost);
+      simulation.Advance(60 * kSecond);
+      CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
       // The one that comes in its place makes the group whole.
-      world.SetSeeds({ Founder(1), Founder(3) });
-      Join(world, kNewcomer);
-      CPPUNIT_ASSERT(world.Until(kWholeTime, [&] {
-        return world.Voters() == 3 && !IsVoter(world, lost);
+      simulation.SetSeeds({ Founder(1), Founder(3) });
+      Join(simulation, kNewcomer);
+      CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+        return simulation.Voters() == 3 && !IsVoter(simulation, lost);
       }));
     }
   }
@@ -292,111 +300,113 @@
   // Of five with one away as many more may be lost as of four.
   void VoterThatIsNotMissedKeepsItsVoteForAWhile()
   {
-    FleetWorld world(7);
-    world.Found(5, 2, 1);
+    FleetSimulation simulation(7);
+    simulation.Found(5, 2, 1);
     CPPUNIT_ASSERT(
-      world.Until(10 * kSecond, [&] { return world.Voters() == 5; }));
-    world.Advance(kSecond);
+      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 5; }));
+    simulation.Advance(kSecond);
     const std::string lost =
-      world.Leader() == Founder(2) ? Founder(3) : Founder(2);
-    world.Kill(lost);
-    world.Advance(6 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(5), world.Voters());
-    CPPUNIT_ASSERT(world.Until(kWholeTime, [&] {
-      return world.Voters() == 4 && !IsVoter(world, lost);
+      simulation.Leader() == Founder(2) ? Founder(3) : Founder(2);
+    simulation.Kill(lost);
+    simulation.Advance(6 * kSecond);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(5), simulation.Voters());
+    CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+      return simulation.Voters() == 4 && !IsVoter(simulation, lost);
     }));
-    world.Start(lost, false);
+    simulation.Start(lost, false);
     CPPUNIT_ASSERT(
-      world.Until(kWholeTime, [&] { return IsVoter(world, lost); }));
+      simulation.Until(kWholeTime, [&] { return IsVoter(simulation, lost); }));
   }
 
   void RestartedVotersAreVotersAgain()
   {
     for (const int disks : { 3, 4, 6 }) {
-      FleetWorld world(7);
-      world.Found(disks, 3, disks == 6 ? 2 : 1);
+      FleetSimulation simulation(7);
+      simulation.Found(disks, 3, disks == 6 ? 2 : 1);
       const auto voters = static_cast<std::size_t>(disks);
-      CPPUNIT_ASSERT(
-        world.Until(10 * kSecond, [&] { return world.Voters() == voters; }));
+      CPPUNIT_ASSERT(simulation.Until(
+        10 * kSecond, [&] { return simulation.Voters() == voters; }));
       for (int i = 1; i <= disks; ++i) {
-        world.Stop(Founder(i));
-        world.Advance(kStopTime);
-        world.Kill(Founder(i));
-        world.Advance(kSecond);
-        world.Start(Founder(i), false);
-        CPPUNIT_ASSERT_MESSAGE(
-          std::to_string(disks),
-          world.Until(kWholeTime, [&] { return world.Voters() == voters; }));
+        simulation.Stop(Founder(i));
+        simulation.Advance(kStopTime);
+        simulation.Kill(Founder(i));
+        simulation.Advance(kSecond);
+        simulation.Start(Founder(i), false);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(disks),
+                               simulation.Until(kWholeTime, [&] {
+                                 return simulation.Voters() == voters;
+                               }));
       }
     }
   }
 
   void TwoHostsReplacedAtOnceLeaveAWholeGroup()
   {
-    FleetWorld world = Founded();
-    Join(world, kNewcomer);
-    Join(world, "10.0.1.2:1");
-    world.Stop(Founder(1));
-    world.Stop(Founder(2));
-    CPPUNIT_ASSERT(world.Until(kStopTime, [&] {
-      return world.Voters() == 3 && !IsVoter(world, Founder(1)) &&
-             !IsVoter(world, Founder(2));
+    FleetSimulation simulation = Founded();
+    Join(simulation, kNewcomer);
+    Join(simulation, "10.0.1.2:1");
+    simulation.Stop(Founder(1));
+    simulation.Stop(Founder(2));
+    CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
+      return simulation.Voters() == 3 && !IsVoter(simulation, Founder(1)) &&
+             !IsVoter(simulation, Founder(2));
     }));
-    world.Kill(Founder(1));
-    world.Kill(Founder(2));
-    CPPUNIT_ASSERT(world.Commit("10.0.0.6:1", PutPolicyCommand(2, 1, "two")));
+    simulation.Kill(Founder(1));
+    simulation.Kill(Founder(2));
+    CPPUNIT_ASSERT(
+      simulation.Commit("10.0.0.6:1", PutPolicyCommand(2, 1, "two")));
   }
 
   void HostReplacedWhileTheLeaderIsCutOffLeavesAWholeGroup()
   {
-    FleetWorld world = Founded();
-    const std::string cut = world.Leader();
+    FleetSimulation simulation = Founded();
+    const std::string cut = simulation.Leader();
     const std::string leaves = cut == Founder(1) ? Founder(2) : Founder(1);
-    Join(world, kNewcomer);
-    world.mCutOff = { cut };
-    world.Stop(leaves);
-    world.Advance(kStopTime);
-    world.Kill(leaves);
-    world.mCutOff.clear();
-    CPPUNIT_ASSERT(world.Until(kBackTime, [&] {
-      return world.Voters() == 3 && !IsVoter(world, leaves);
+    Join(simulation, kNewcomer);
+    simulation.mCutOff = { cut };
+    simulation.Stop(leaves);
+    simulation.Advance(kStopTime);
+    simulation.Kill(leaves);
+    simulation.mCutOff.clear();
+    CPPUNIT_ASSERT(simulation.Until(kBackTime, [&] {
+      return simulation.Voters() == 3 && !IsVoter(simulation, leaves);
     }));
-    CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
+    CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
   }
 
   void LearnerThatNeverCatchesUpIsForgotten()
   {
-    FleetWorld world = Founded();
-    world.mLose = [](const fakes::Sent& aSent) {
+    FleetSimulation simulation = Founded();
+    simulation.mLose = [](const fakes::Sent& aSent) {
       return aSent.mTo == kNewcomer;
     };
-    world.Add(kNewcomer, true);
-    world.Start(kNewcomer, false);
-    world.Advance(2 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(4, Members(world));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(3), world.Voters());
-    world.Kill(kNewcomer);
+    simulation.Add(kNewcomer, true);
+    simulation.Start(kNewcomer, false);
+    simulation.Advance(2 * kSecond);
+    CPPUNIT_ASSERT_EQUAL(4, Members(simulation));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
+    simulation.Kill(kNewcomer);
     CPPUNIT_ASSERT(
-      world.Until(40 * kSecond, [&] { return Members(world) == 3; }));
+      simulation.Until(40 * kSecond, [&] { return Members(simulation) == 3; }));
   }
 
   void HostBackWithItsDiskAfterItWasForgottenJoinsAgain()
   {
-    FleetWorld world = Replaced(1);
+    FleetSimulation simulation = Replaced(1);
     CPPUNIT_ASSERT(
-      world.Until(40 * kSecond, [&] { return Members(world) == 3; }));
-    CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-    world.Start(Founder(1), false);
-    CPPUNIT_ASSERT(world.Until(kBackTime, [&] {
-      return IsVoter(world, Founder(1)) &&
-             world.Node(Founder(1)).mState.mCatalog.mVersion == 2;
+      simulation.Until(40 * kSecond, [&] { return Members(simulation) == 3; }));
+    CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
+    simulation.Start(Founder(1), false);
+    CPPUNIT_ASSERT(simulation.Until(kBackTime, [&] {
+      return IsVoter(simulation, Founder(1)) &&
+             simulation.Node(Founder(1)).mState.mCatalog.mVersion == 2;
     }));
   }
 
   void JoinThatNamesNoDiskOrAnothersIsRefused()
   {
-    FleetWorld world = Founded();
-    const std::string leader = world.Leader();
+    FleetSimulation simulation = Founded();
+    const std::string leader = simulation.Leader();
     for (const char* storage : { "", "disk2" }) {
       wire::FleetMessage message;
       message.set_from_address(kNewcomer);
@@ -405,143 +415,145 @@
       joiner.set_address(kNewcomer);
       joiner.set_storage(storage);
       fleet::Output output;
-      fleet::Receive(world.Node(leader).mState, world.mNow, 1, message, output);
+      fleet::Receive(
+        simulation.Node(leader).mState, simulation.mNow, 1, message, output);
       CPPUNIT_ASSERT(output.mWrites.empty());
     }
-    const State& state = world.Node(leader).mState;
+    const State& state = simulation.Node(leader).mState;
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), state.mTraffic.mJoinsRefused);
-    CPPUNIT_ASSERT_EQUAL(3, Members(world));
+    CPPUNIT_ASSERT_EQUAL(3, Members(simulation));
   }
 
   void StoppingHostDoesNotJoinAgain()
   {
-    FleetWorld world = Founded();
-    Join(world, kNewcomer);
+    FleetSimulation simulation = Founded();
+    Join(simulation, kNewcomer);
     const std::string leaves = Founder(2);
-    world.Stop(leaves);
+    simulation.Stop(leaves);
     bool joins = false;
-    world.mLose = [&](const fakes::Sent& aSent) {
+    simulation.mLose = [&](const fakes::Sent& aSent) {
       joins = joins || (aSent.mFrom == leaves && aSent.mMessage.has_join());
       return false;
     };
-    world.Advance(10 * kSecond);
+    simulation.Advance(10 * kSecond);
     CPPUNIT_ASSERT(!joins);
-    CPPUNIT_ASSERT(!IsVoter(world, leaves));
+    CPPUNIT_ASSERT(!IsVoter(simulation, leaves));
   }
 
   void HostsThatAreGoneAreForgotten()
   {
-    FleetWorld world = Founded();
+    FleetSimulation simulation = Founded();
     const std::string gone = "10.0.0.7:1";
-    world.Kill(gone);
-    world.Advance(10 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), KnownAt(world, kFollower, gone));
-    world.Advance(60 * kSecond);
-    for (const std::string& address : world.Addresses()) {
+    simulation.Kill(gone);
+    simulation.Advance(10 * kSecond);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), KnownAt(simulation, kFollower, gone));
+    simulation.Advance(60 * kSecond);
+    for (const std::string& address : simulation.Addresses()) {
       if (address != gone) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          address, std::size_t(0), KnownAt(world, address, gone));
+          address, std::size_t(0), KnownAt(simulation, address, gone));
       }
     }
   }
 
   void GroupThatToleratesLessIsLoggedAndCounted()
   {
-    FleetWorld world = Founded();
-    const std::string leader = world.Leader();
-    const fleet::State& state = world.Node(leader).mState;
-    CPPUNIT_ASSERT_EQUAL(1, HealthOf(state, world.mNow).mTolerated);
-    world.Kill(leader == Founder(3) ? Founder(2) : Founder(3));
-    world.Advance(3 * kSecond);
-    const GroupHealth health = HealthOf(state, world.mNow);
+    FleetSimulation simulation = Founded();
+    const std::string leader = simulation.Leader();
+    const fleet::State& state = simulation.Node(leader).mState;
+    CPPUNIT_ASSERT_EQUAL(1, HealthOf(state, simulation.mNow).mTolerated);
+    simulation.Kill(leader == Founder(3) ? Founder(2) : Founder(3));
+    simulation.Advance(3 * kSecond);
+    const GroupHealth health = HealthOf(state, simulation.mNow);
     CPPUNIT_ASSERT_EQUAL(3, health.mVoters);
     CPPUNIT_ASSERT_EQUAL(2, health.mAnswering);
     CPPUNIT_ASSERT_EQUAL(0, health.mTolerated);
-    CPPUNIT_ASSERT(HasNote(world, leader, "event=group_weak"));
-    world.Kill(leader == Founder(1) ? Founder(2) : Founder(1));
-    world.Advance(5 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(-1, HealthOf(state, world.mNow).mTolerated);
-    CPPUNIT_ASSERT(HasNote(world, leader, "event=group_leaderless"));
+    CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_weak"));
+    simulation.Kill(leader == Founder(1) ? Founder(2) : Founder(1));
+    simulation.Advance(5 * kSecond);
+    CPPUNIT_ASSERT_EQUAL(-1, HealthOf(state, simulation.mNow).mTolerated);
+    CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_leaderless"));
   }
 
   void DiskAtAStartIsLogged()
   {
-    FleetWorld world = Founded();
-    CPPUNIT_ASSERT(HasNote(world, Founder(1), "event=group_opened"));
-    world.Kill(Founder(1));
-    world.Wipe(Founder(1));
-    world.Start(Founder(1), false);
-    CPPUNIT_ASSERT(HasNote(world, Founder(1), "/disk"));
-    CPPUNIT_ASSERT(HasNote(world, Founder(1), "voters=0"));
+    FleetSimulation simulation = Founded();
+    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "event=group_opened"));
+    simulation.Kill(Founder(1));
+    simulation.Wipe(Founder(1));
+    simulation.Start(Founder(1), false);
+    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "/disk"));
+    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "voters=0"));
   }
 
 private:
-  static bool IsWhole(const FleetWorld& aWorld)
+  static bool IsWhole(const FleetSimulation& aSimulation)
   {
-    const std::string leader = aWorld.Leader();
-    return !leader.empty() && aWorld.Voters() == 3 &&
-           HealthOf(aWorld.At(leader).mState, aWorld.mNow).mTolerated == 1;
+    const std::string leader = aSimulation.Leader();
+    return !leader.empty() && aSimulation.Voters() == 3 &&
+           HealthOf(aSimulation.At(leader).mState, aSimulation.mNow)
+               .mTolerated == 1;
   }
 
   // A host stops and loses its vote; all lose power, and it is the first one
   // that is back.
-  static FleetWorld StartedWithoutAVote(const std::string& aWithout,
-                                        Micros aAhead)
-  {
-    FleetWorld world = Founded();
-    Join(world, kNewcomer);
-    world.Stop(aWithout);
-    CPPUNIT_ASSERT(
-      world.Until(kStopTime, [&] { return !IsVoter(world, aWithout); }));
-    world.Advance(kSecond);
-    for (const std::string& address : world.Addresses()) {
-      world.LosePower(address);
+  static FleetSimulation StartedWithoutAVote(const std::string& aWithout,
+                                             Micros aAhead)
+  {
+    FleetSimulation simulation = Founded();
+    Join(simulation, kNewcomer);
+    simulation.Stop(aWithout);
+    CPPUNIT_ASSERT(simulation.Until(
+      kStopTime, [&] { return !IsVoter(simulation, aWithout); }));
+    simulation.Advance(kSecond);
+    for (const std::string& address : simulation.Addresses()) {
+      simulation.LosePower(address);
     }
-    world.Advance(kSecond);
-    world.Start(aWithout, false);
-    world.Advance(aAhead);
-    for (const std::string& address : world.Addresses()) {
+    simulation.Advance(kSecond);
+    simulation.Start(aWithout, false);
+    simulation.Advance(aAhead);
+    for (const std::string& address : simulation.Addresses()) {
       if (address != aWithout) {
-        world.Start(address, false);
+        simulation.Start(address, false);
       }
     }
-    return world;
+    return simulation;
   }
 
   // Three control hosts and four others; the first version is in force.
-  static FleetWorld Founded()
+  static FleetSimulation Founded()
   {
-    FleetWorld world(7);
-    world.Found(3, 4, 1);
+    FleetSimulation simulation(7);
+    simulation.Found(3, 4, 1);
     CPPUNIT_ASSERT(
-      world.Until(10 * kSecond, [&] { return world.Voters() == 3; }));
-    CPPUNIT_ASSERT(world.Commit(kFollower, PutPolicyCommand(1, 0, "one")));
-    world.Advance(kSecond);
-    return world;
+      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 3; }));
+    CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(1, 0, "one")));
+    simulation.Advance(kSecond);
+    return simulation;
   }
 
-  static void Join(FleetWorld& aWorld, const std::string& aAddress)
+  static void Join(FleetSimulation& aSimulation, const std::string& aAddress)
   {
-    aWorld.Add(aAddress, true);
-    aWorld.Start(aAddress, false);
-    CPPUNIT_ASSERT(
-      aWorld.Until(10 * kSecond, [&] { return IsVoter(aWorld, aAddress); }));
+    aSimulation.Add(aAddress, true);
+    aSimulation.Start(aAddress, false);
+    CPPUNIT_ASSERT(aSimulation.Until(
+      10 * kSecond, [&] { return IsVoter(aSimulation, aAddress); }));
   }
 
-  static void Leave(FleetWorld& aWorld, const std::string& aAddress)
+  static void Leave(FleetSimulation& aSimulation, const std::string& aAddress)
   {
-    aWorld.Stop(aAddress);
-    aWorld.Advance(kStopTime);
-    aWorld.Kill(aAddress);
-    aWorld.Advance(kSecond);
+    aSimulation.Stop(aAddress);
+    aSimulation.Advance(kStopTime);
+    aSimulation.Kill(aAddress);
+    aSimulation.Advance(kSecond);
   }
 
-  static FleetWorld Replaced(int aLeaves)
+  static FleetSimulation Replaced(int aLeaves)
   {
-    FleetWorld world = Founded();
-    Join(world, kNewcomer);
-    Leave(world, Founder(aLeaves));
-    return world;
+    FleetSimulation simulation = Founded();
+    Join(simulation, kNewcomer);
+    Leave(simulation, Founder(aLeaves));
+    return simulation;
   }
 
   static std::vector<std::string> OthersThan(int aLeaves)
@@ -555,73 +567,75 @@
     return others;
   }
 
-  static std::vector<std::string> Left(const FleetWorld& aWorld, int aLeaves)
+  static std::vector<std::string> Left(const FleetSimulation& aSimulation,
+                                       int aLeaves)
   {
-    std::vector<std::string> left = aWorld.Addresses();
+    std::vector<std::string> left = aSimulation.Addresses();
     left.erase(std::find(left.begin(), left.end(), Founder(aLeaves)));
     return left;
   }
 
-  static void LoseAllPower(FleetWorld& aWorld,
+  static void LoseAllPower(FleetSimulation& aSimulation,
                            int aLeaves,
                            const std::string& aWiped)
   {
-    const std::vector<std::string> left = Left(aWorld, aLeaves);
+    const std::vector<std::string> left = Left(aSimulation, aLeaves);
     for (const std::string& address : left) {
-      aWorld.LosePower(address);
+      aSimulation.LosePower(address);
     }
-    aWorld.Wipe(aWiped);
-    aWorld.Advance(kSecond);
+    aSimulation.Wipe(aWiped);
+    aSimulation.Advance(kSecond);
     for (const std::string& address : left) {
-      aWorld.Start(address, false);
+      aSimulation.Start(address, false);
     }
   }
 
   // All hosts that are left are in touch, with a version or a later one, and it
   // can be read back.
-  static void AssertServes(FleetWorld& aWorld,
+  static void AssertServes(FleetSimulation& aSimulation,
                            int aLeaves,
                            std::uint64_t aVersion,
                            const std::string& aCase)
   {
-    const std::vector<std::string> left = Left(aWorld, aLeaves);
-    const bool all = aWorld.Until(kBackTime, [&] {
+    const std::vector<std::string> left = Left(aSimulation, aLeaves);
+    const bool all = aSimulation.Until(kBackTime, [&] {
       return std::all_of(left.begin(), left.end(), [&](const auto& aHost) {
-        const State& state = aWorld.Node(aHost).mState;
+        const State& state = aSimulation.Node(aHost).mState;
         return state.mCatalog.mVersion >= aVersion &&
-               IsInTouch(state, aWorld.mNow);
+               IsInTouch(state, aSimulation.mNow);
       });
     });
     CPPUNIT_ASSERT_MESSAGE(aCase, all);
     wire::CatalogCommand read;
     read.mutable_read_barrier();
-    CPPUNIT_ASSERT_MESSAGE(aCase, aWorld.Commit(kFollower, read));
+    CPPUNIT_ASSERT_MESSAGE(aCase, aSimulation.Commit(kFollower, read));
   }
 
-  static bool IsVoter(const FleetWorld& aWorld, const std::string& aAddress)
+  static bool IsVoter(const FleetSimulation& aSimulation,
+                      const std::string& aAddress)
   {
-    const std::vector<std::string> voters = aWorld.VoterAddresses();
+    const std::vector<std::string> voters = aSimulation.VoterAddresses();
     return std::count(voters.begin(), voters.end(), aAddress) != 0;
   }
 
-  static std::size_t KnownAt(FleetWorld& aWorld,
+  static std::size_t KnownAt(FleetSimulation& aSimulation,
                              const std::string& aAddress,
                              const std::string& aHost)
   {
-    return aWorld.Node(aAddress).mState.mHosts.count(aHost);
+    return aSimulation.Node(aAddress).mState.mHosts.count(aHost);
   }
 
-  static int Members(FleetWorld& aWorld)
+  static int Members(FleetSimulation& aSimulation)
   {
-    const std::string leader = aWorld.Leader();
-    return aWorld.Node(leader).mState.mGroup.mMembership.members_size();
+    const std::string leader = aSimulation.Leader();
+    return aSimulation.Node(leader).mState.mGroup.mMembership.members_size();
   }
 
-  static bool HasNote(FleetWorld& aWorld,
+  static bool HasNote(FleetSimulation& aSimulation,
                       const std::string& aAddress,
                       const std::string& aText)
   {
-    const auto& notes = aWorld.Node(aAddress).mNotes;
+    const auto& notes = aSimulation.Node(aAddress).mNotes;
     return std::any_of(notes.begin(), notes.end(), [&](const auto& aNote) {
       return aNote.find(aText) != std::string::npos;
     });
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -7,7 +7,7 @@
 
 namespace geraniumpond::fleet {
 
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::PutPolicyCommand;
 using fakes::PutTargetCommand;
 
@@ -85,35 +85,35 @@
   // What the group has acknowledged is told down the tree, which may be cut.
   void PolicyIsReadBackByAHostWhoseOwnIsOld()
   {
-    mWorld = FleetWorld(3);
-    mWorld.FoundSpread(kDataCentres, 24, 2);
-    CPPUNIT_ASSERT(mWorld.Until(6 * kSecond, [&] {
-      return mWorld.Voters() == kDataCentres &&
-             mWorld.Commit(kControl, PutPolicyCommand(1, 0, "first"));
+    mSimulation = FleetSimulation(3);
+    mSimulation.FoundSpread(kDataCentres, 24, 2);
+    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+      return mSimulation.Voters() == kDataCentres &&
+             mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
-    mWorld.Advance(2 * kSecond);
-    mWorld.mLose = [](const fakes::Sent& aSent) {
+    mSimulation.Advance(2 * kSecond);
+    mSimulation.mLose = [](const fakes::Sent& aSent) {
       return aSent.mMessage.has_follow_reply() && aSent.mTo == kReader;
     };
-    CPPUNIT_ASSERT(mWorld.Commit(kControl, PutPolicyCommand(2, 1, "two")));
+    CPPUNIT_ASSERT(mSimulation.Commit(kControl, PutPolicyCommand(2, 1, "two")));
     CPPUNIT_ASSERT(Reads(kReader));
   }
 
   // A change waits for the disks; what was acknowledged before it is read.
   void PolicyIsReadWhileDisksAnswerNothing()
   {
-    mWorld = FleetWorld(4);
-    mWorld.FoundSpread(kDataCentres, 24, 2);
-    CPPUNIT_ASSERT(mWorld.Until(6 * kSecond, [&] {
-      return mWorld.Voters() == kDataCentres &&
-             mWorld.Commit(kControl, PutPolicyCommand(2, 0, "two"));
+    mSimulation = FleetSimulation(4);
+    mSimulation.FoundSpread(kDataCentres, 24, 2);
+    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+      return mSimulation.Voters() == kDataCentres &&
+             mSimulation.Commit(kControl, PutPolicyCommand(2, 0, "two"));
     }));
-    mWorld.Advance(2 * kSecond);
+    mSimulation.Advance(2 * kSecond);
     for (int place = 0; place < kDataCentres; ++place) {
-      mWorld.mStalled.insert("10.0." + std::to_string(place) + ".1:1");
+      mSimulation.mStalled.insert("10.0." + std::to_string(place) + ".1:1");
     }
-    (void)mWorld.Submit(kControl, PutPolicyCommand(3, 2, "three"));
-    mWorld.Advance(100 * kMillisecond);
+    (void)mSimulation.Submit(kControl, PutPolicyCommand(3, 2, "three"));
+    mSimulation.Advance(100 * kMillisecond);
     CPPUNIT_ASSERT(Reads(kReader));
   }
 
@@ -127,13 +127,13 @@
       wire::CatalogCommand read;
       read.mutable_read_barrier();
       const std::string host = AnyHost();
-      reads.emplace_back(host, mWorld.Submit(host, read));
+      reads.emplace_back(host, mSimulation.Submit(host, read));
       AdvanceBesideAnnouncements(kPace);
     }
     AdvanceBesideAnnouncements(kPatience);
     int answered = 0;
     for (const auto& [host, id] : reads) {
-      const auto& ends = mWorld.Node(host).mDone;
+      const auto& ends = mSimulation.Node(host).mDone;
       const auto done = ends.find(id);
       CPPUNIT_ASSERT_MESSAGE(host, done != ends.end());
       CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mTook < kPatience);
@@ -158,31 +158,32 @@
   // A change is acknowledged, then all hosts lose power and one its disk.
   void LoseAllPower(const Case& aCase)
   {
-    mWorld = FleetWorld(aCase.mSeed);
+    mSimulation = FleetSimulation(aCase.mSeed);
     mRandom.seed(aCase.mSeed);
-    mWorld.mWork = kSmallHosts;
-    mWorld.FoundSpread(kDataCentres, kOthers, 2);
-    CPPUNIT_ASSERT(mWorld.Until(6 * kSecond, [&] {
-      return mWorld.Voters() == kDataCentres &&
-             mWorld.Commit(kControl, PutPolicyCommand(1, 0, "first"));
+    mSimulation.mWork = kSmallHosts;
+    mSimulation.FoundSpread(kDataCentres, kOthers, 2);
+    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+      return mSimulation.Voters() == kDataCentres &&
+             mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
     for (int target = 0; target < kTargets; ++target) {
       Announce(target, 1);
-      mWorld.Advance(2 * kSecond / kTargets);
+      mSimulation.Advance(2 * kSecond / kTargets);
     }
-    CPPUNIT_ASSERT(mWorld.Commit(kControl, PutPolicyCommand(2, 1, "two")));
-    const std::string leader = mWorld.Leader();
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.LosePower(address);
+    CPPUNIT_ASSERT(mSimulation.Commit(kControl, PutPolicyCommand(2, 1, "two")));
+    const std::string leader = mSimulation.Leader();
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.LosePower(address);
     }
-    mWorld.Wipe(aCase.mWiped == Wiped::Leader ? leader : OtherThan(leader));
-    mWorld.mWork = { kSmallHosts.mControlMessage * 100 / aCase.mPercent,
-                     kSmallHosts.mOtherMessage * 100 / aCase.mPercent,
-                     kSmallHosts.mKilobyte * 100 / aCase.mPercent };
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Node(address).mDone.clear();
-      mWorld.Start(address, false);
+    mSimulation.Wipe(aCase.mWiped == Wiped::Leader ? leader
+                                                   : OtherThan(leader));
+    mSimulation.mWork = { kSmallHosts.mControlMessage * 100 / aCase.mPercent,
+                          kSmallHosts.mOtherMessage * 100 / aCase.mPercent,
+                          kSmallHosts.mKilobyte * 100 / aCase.mPercent };
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Node(address).mDone.clear();
+      mSimulation.Start(address, false);
     }
     mAnnounced = 0;
   }
@@ -190,16 +191,16 @@
   // An operator asks one host after the other, from the moment of the start.
   Micros TimeToReadBesideAnnouncements()
   {
-    const Micros start = mWorld.mNow;
+    const Micros start = mSimulation.mNow;
     Micros pause = kFirstPause;
-    while (mWorld.mNow - start <= kReadBackWithin) {
+    while (mSimulation.mNow - start <= kReadBackWithin) {
       if (Reads(AnyHost())) {
         break;
       }
       AdvanceBesideAnnouncements(pause);
       pause *= 2;
     }
-    return mWorld.mNow - start;
+    return mSimulation.mNow - start;
   }
 
   // Whether the host answers with what was acknowledged last.
@@ -207,10 +208,10 @@
   {
     wire::CatalogCommand read;
     read.mutable_read_barrier();
-    const std::uint64_t id = mWorld.Submit(aHost, read);
-    const fakes::FleetNode& node = mWorld.Node(aHost);
-    const Micros asked = mWorld.mNow;
-    while (mWorld.mNow - asked < kPatience) {
+    const std::uint64_t id = mSimulation.Submit(aHost, read);
+    const fakes::FleetNode& node = mSimulation.Node(aHost);
+    const Micros asked = mSimulation.mNow;
+    while (mSimulation.mNow - asked < kPatience) {
       AdvanceBesideAnnouncements(kPace);
       const auto done = node.mDone.find(id);
       if (done == node.mDone.end()) {
@@ -234,20 +235,20 @@
            due += kHeartbeat / kTargets) {
         Announce(mAnnounced++, 3);
       }
-      mWorld.Advance(kPace);
+      mSimulation.Advance(kPace);
     }
   }
 
   void Announce(int aTarget, std::uint64_t aSequence)
   {
-    (void)mWorld.Submit(
+    (void)mSimulation.Submit(
       AnyHost(),
       PutTargetCommand("target" + std::to_string(aTarget), aSequence, false));
   }
 
   std::string AnyHost()
   {
-    const std::vector<std::string> hosts = mWorld.Addresses();
+    const std::vector<std::string> hosts = mSimulation.Addresses();
     return hosts[mRandom() % hosts.size()];
   }
 
@@ -256,7 +257,7 @@
     return aLeader == "10.0.3.1:1" ? "10.0.2.1:1" : "10.0.3.1:1";
   }
 
-  FleetWorld mWorld;
+  FleetSimulation mSimulation;
   std::mt19937_64 mRandom;
   int mAnnounced = kTargets;
 };
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -7,7 +7,7 @@
 namespace geraniumpond::fleet {
 
 using fakes::FleetNode;
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::PutPolicyCommand;
 using fakes::PutTargetCommand;
 
@@ -46,19 +46,19 @@
   {
     Begin();
     Announce(2 * kSecond);
-    mWorld.Advance(8 * kSecond);
+    mSimulation.Advance(8 * kSecond);
     const std::uint64_t term = Term();
     const std::size_t lost = Notes("event=upstream_lost");
-    mWorld.Advance(50 * kSecond);
+    mSimulation.Advance(50 * kSecond);
     CPPUNIT_ASSERT_EQUAL(term, Term());
     CPPUNIT_ASSERT_EQUAL(lost, Notes("event=upstream_lost"));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Notes("event=host_gone"));
-    for (const std::string& address : mWorld.Addresses()) {
-      const State& state = mWorld.Node(address).mState;
+    for (const std::string& address : mSimulation.Addresses()) {
+      const State& state = mSimulation.Node(address).mState;
       CPPUNIT_ASSERT_EQUAL(std::size_t(kTargets),
                            state.mCatalog.mTargets.size());
       CPPUNIT_ASSERT_EQUAL(kDataCentres + kOthers,
-                           LiveHosts(state, mWorld.mNow));
+                           LiveHosts(state, mSimulation.mNow));
       CPPUNIT_ASSERT_MESSAGE(address, state.mFollowers.size() <= 20);
     }
   }
@@ -67,17 +67,17 @@
   {
     Begin();
     Announce(2 * kSecond);
-    mWorld.Advance(4 * kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    mSimulation.Advance(4 * kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(
-      mWorld.Until(3 * kSecond, [&] { return !mWorld.Leader().empty(); }));
-    mWorld.Advance(500 * kMillisecond);
+    CPPUNIT_ASSERT(mSimulation.Until(
+      3 * kSecond, [&] { return !mSimulation.Leader().empty(); }));
+    mSimulation.Advance(500 * kMillisecond);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(HostsAt(1)),
                            HostsAt(1) * 100 >= (kDataCentres + kOthers) * 99);
   }
@@ -88,34 +88,34 @@
   void AllPowerAndADiskLostIsReadBackWithLittleProcessorLeft()
   {
     for (const int percent : { 100, 50, 35 }) {
-      mWorld = FleetWorld();
+      mSimulation = FleetSimulation();
       Begin();
       Announce(2 * kSecond);
       CPPUNIT_ASSERT(
-        mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
-      for (const std::string& address : mWorld.Addresses()) {
-        mWorld.LosePower(address);
+        mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+      for (const std::string& address : mSimulation.Addresses()) {
+        mSimulation.LosePower(address);
       }
-      mWorld.Wipe("10.0.3.1:1");
-      mWorld.mWork = { kSmallHosts.mControlMessage * 100 / percent,
-                       kSmallHosts.mOtherMessage * 100 / percent,
-                       kSmallHosts.mKilobyte * 100 / percent };
-      mWorld.Advance(kSecond);
-      for (const std::string& address : mWorld.Addresses()) {
-        mWorld.Start(address, false);
+      mSimulation.Wipe("10.0.3.1:1");
+      mSimulation.mWork = { kSmallHosts.mControlMessage * 100 / percent,
+                            kSmallHosts.mOtherMessage * 100 / percent,
+                            kSmallHosts.mKilobyte * 100 / percent };
+      mSimulation.Advance(kSecond);
+      for (const std::string& address : mSimulation.Addresses()) {
+        mSimulation.Start(address, false);
       }
       const std::string label = std::to_string(percent) + " %";
-      CPPUNIT_ASSERT_MESSAGE(label, mWorld.Until(kContact, [&] {
-        return !mWorld.Leader().empty();
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Until(kContact, [&] {
+        return !mSimulation.Leader().empty();
       }));
       const std::uint64_t term = Term();
       wire::CatalogCommand read;
       read.mutable_read_barrier();
-      CPPUNIT_ASSERT_MESSAGE(label, mWorld.Commit("10.1.2.2:1", read));
-      CPPUNIT_ASSERT_MESSAGE(label, mWorld.Until(kContact, [&] {
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Commit("10.1.2.2:1", read));
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Until(kContact, [&] {
         return HostsAt(2) == kDataCentres + kOthers;
       }));
-      mWorld.Advance(3 * kSecond);
+      mSimulation.Advance(3 * kSecond);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(label, term, Term());
     }
   }
@@ -123,48 +123,52 @@
   void RelayThatIsLostIsReplacedWithinThePolicysTime()
   {
     Begin();
-    mWorld.Advance(8 * kSecond);
+    mSimulation.Advance(8 * kSecond);
     std::string relay;
-    for (const std::string& address : mWorld.Addresses()) {
-      const FleetNode& node = mWorld.Node(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      const FleetNode& node = mSimulation.Node(address);
       if (!node.mSettings.mControl && !node.mState.mFollowers.empty()) {
         relay = address;
       }
     }
     CPPUNIT_ASSERT(!relay.empty());
-    mWorld.Kill(relay);
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
-    mWorld.Advance(1900 * kMillisecond);
+    mSimulation.Kill(relay);
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+    mSimulation.Advance(1900 * kMillisecond);
     CPPUNIT_ASSERT_EQUAL(kDataCentres + kOthers - 1, HostsAt(2));
   }
 
   void HostsLostTogetherLeaveTheOthersServed()
   {
     Begin();
-    mWorld.Advance(8 * kSecond);
+    mSimulation.Advance(8 * kSecond);
     std::set<std::string> lost;
     int turn = 0;
-    for (const std::string& address : mWorld.Addresses()) {
-      if (!mWorld.Node(address).mSettings.mControl && ++turn % 2 == 0) {
-        mWorld.Kill(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      if (!mSimulation.Node(address).mSettings.mControl && ++turn % 2 == 0) {
+        mSimulation.Kill(address);
         lost.insert(address);
       }
     }
     const int left = kDataCentres + kOthers - static_cast<int>(lost.size());
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
-    mWorld.Advance(1900 * kMillisecond);
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+    mSimulation.Advance(1900 * kMillisecond);
     CPPUNIT_ASSERT_EQUAL(left, HostsAt(2));
-    mWorld.Advance(5 * kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    mSimulation.Advance(5 * kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       if (lost.count(address) == 0) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          address, left, LiveHosts(mWorld.Node(address).mState, mWorld.mNow));
+          address,
+          left,
+          LiveHosts(mSimulation.Node(address).mState, mSimulation.mNow));
       }
     }
     for (const std::string& address : lost) {
-      mWorld.Start(address, false);
+      mSimulation.Start(address, false);
     }
-    mWorld.Advance(1500 * kMillisecond);
+    mSimulation.Advance(1500 * kMillisecond);
     CPPUNIT_ASSERT_EQUAL(kDataCentres + kOthers, HostsAt(2));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Leaders());
   }
@@ -172,49 +176,50 @@
   void StoppingHostLeavesAllListsAtOnceThroughRelays()
   {
     Begin();
-    for (const std::string& address : mWorld.Addresses()) {
+    for (const std::string& address : mSimulation.Addresses()) {
       Output output;
-      SetReady(mWorld.Node(address).mState, mWorld.mNow, true, output);
+      SetReady(
+        mSimulation.Node(address).mState, mSimulation.mNow, true, output);
     }
-    mWorld.Advance(8 * kSecond);
+    mSimulation.Advance(8 * kSecond);
     const std::string stops = "10.1.0.0:1";
     Output output;
-    BeginStop(mWorld.Node(stops).mState, mWorld.mNow, output);
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    BeginStop(mSimulation.Node(stops).mState, mSimulation.mNow, output);
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
         address,
         std::size_t(kDataCentres + kOthers - 1),
-        ReadyHosts(mWorld.Node(address).mState, mWorld.mNow).size());
+        ReadyHosts(mSimulation.Node(address).mState, mSimulation.mNow).size());
     }
   }
 
 private:
   void Begin()
   {
-    mWorld.mWork = kSmallHosts;
-    mWorld.FoundSpread(kDataCentres, kOthers, 2);
-    CPPUNIT_ASSERT(mWorld.Until(6 * kSecond, [&] {
-      return mWorld.Voters() == kDataCentres &&
-             mWorld.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
+    mSimulation.mWork = kSmallHosts;
+    mSimulation.FoundSpread(kDataCentres, kOthers, 2);
+    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+      return mSimulation.Voters() == kDataCentres &&
+             mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
   }
 
   // Each at a host of its own; one that is not answered goes to another.
   void Announce(Micros aTime)
   {
-    const std::vector<std::string> hosts = mWorld.Addresses();
+    const std::vector<std::string> hosts = mSimulation.Addresses();
     for (int target = 0; target < kTargets; ++target) {
-      (void)mWorld.Submit(
+      (void)mSimulation.Submit(
         hosts[static_cast<std::size_t>(target) % hosts.size()],
         PutTargetCommand("target" + std::to_string(target), 1, false));
-      mWorld.Advance(aTime / kTargets);
+      mSimulation.Advance(aTime / kTargets);
     }
     for (int target = 0; target < kTargets; ++target) {
-      const State& leader = mWorld.Node(mWorld.Leader()).mState;
+      const State& leader = mSimulation.Node(mSimulation.Leader()).mState;
       const std::string id = "target" + std::to_string(target);
       if (leader.mCatalog.mTargets.count(id) == 0) {
-        (void)mWorld.Submit(
+        (void)mSimulation.Submit(
           hosts[static_cast<std::size_t>(target + 7) % hosts.size()],
           PutTargetCommand(id, 2, false));
       }
@@ -223,7 +228,7 @@
 
   [[nodiscard]] std::uint64_t Term()
   {
-    return mWorld.Node("10.0.0.1:1").mState.mGroup.mTerm;
+    return mSimulation.Node("10.0.0.1:1").mState.mGroup.mTerm;
   }
 
   [[nodiscard]] std::uint64_t Leaders()
@@ -231,7 +236,7 @@
     std::set<std::string> leaders;
     for (int i = 0; i < kDataCentres; ++i) {
       const std::string address = "10.0." + std::to_string(i) + ".1:1";
-      leaders.insert(mWorld.Node(address).mState.mLeaderAddress);
+      leaders.insert(mSimulation.Node(address).mState.mLeaderAddress);
     }
     return leaders.size();
   }
@@ -239,8 +244,8 @@
   [[nodiscard]] int HostsAt(std::uint64_t aVersion)
   {
     int hosts = 0;
-    for (const std::string& address : mWorld.Addresses()) {
-      const FleetNode& node = mWorld.Node(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      const FleetNode& node = mSimulation.Node(address);
       hosts += node.mAlive && node.mState.mCatalog.mVersion == aVersion ? 1 : 0;
     }
     return hosts;
@@ -249,15 +254,15 @@
   [[nodiscard]] std::size_t Notes(const std::string& aStart)
   {
     std::size_t count = 0;
-    for (const std::string& address : mWorld.Addresses()) {
-      for (const std::string& note : mWorld.Node(address).mNotes) {
+    for (const std::string& address : mSimulation.Addresses()) {
+      for (const std::string& note : mSimulation.Node(address).mNotes) {
         count += note.rfind(aStart, 0) == 0 ? 1 : 0;
       }
     }
     return count;
   }
 
-  FleetWorld mWorld;
+  FleetSimulation mSimulation;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetScaleTest);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,7 +8,7 @@
 namespace geraniumpond::fleet {
 
 using fakes::FleetNode;
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::PutPolicyCommand;
 using fakes::PutTargetCommand;
 
@@ -53,25 +53,25 @@
   void SeedsAtAFirstStartFoundAGroupOfAllDisks()
   {
     for (const int disks : { 1, 3, 4, 5, 8 }) {
-      FleetWorld world(static_cast<std::uint64_t>(disks));
-      world.Found(disks, 3, 0);
-      CPPUNIT_ASSERT(world.Until(4 * kSecond, [&] {
-        return world.Voters() == static_cast<std::size_t>(disks);
+      FleetSimulation simulation(static_cast<std::uint64_t>(disks));
+      simulation.Found(disks, 3, 0);
+      CPPUNIT_ASSERT(simulation.Until(4 * kSecond, [&] {
+        return simulation.Voters() == static_cast<std::size_t>(disks);
       }));
     }
   }
 
   void FirstPolicyWithTooFewDisksWaits()
   {
-    FleetWorld world;
-    world.Found(4, 0, 1);
-    world.Kill("10.0.0.4:1");
-    world.Kill("10.0.0.3:1");
+    FleetSimulation simulation;
+    simulation.Found(4, 0, 1);
+    simulation.Kill("10.0.0.4:1");
+    simulation.Kill("10.0.0.3:1");
     // Two of three founders would be a quorum of two: enough for one loss.
-    CPPUNIT_ASSERT(world.Until(4 * kSecond, [&] {
-      return world.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
+    CPPUNIT_ASSERT(simulation.Until(4 * kSecond, [&] {
+      return simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
-    FleetWorld careful;
+    FleetSimulation careful;
     careful.Found(4, 0, 2);
     careful.Kill("10.0.0.4:1");
     CPPUNIT_ASSERT(
@@ -87,9 +87,10 @@
   void CommittedPolicyReachesEveryHostInTime()
   {
     Begin(4, 11, 1);
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.9:1", PutPolicyCommand(7, 1, "next")));
-    mWorld.Advance(600 * kMillisecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.9:1", PutPolicyCommand(7, 1, "next")));
+    mSimulation.Advance(600 * kMillisecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), VersionAt(address));
     }
   }
@@ -100,27 +101,27 @@
   {
     Begin(3, 20, 1);
     int pushes = 0;
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
       pushes += aSent.mMessage.has_follow_reply() &&
                     aSent.mMessage.follow_reply().commands_size() > 0
                   ? 1
                   : 0;
       return false;
     };
-    const Micros start = mWorld.mNow;
+    const Micros start = mSimulation.mNow;
     for (int target = 0; target < 200; ++target) {
-      (void)mWorld.Submit(
+      (void)mSimulation.Submit(
         "10.0.0.9:1", PutTargetCommand("t" + std::to_string(target), 1, false));
-      mWorld.Advance(5 * kMillisecond);
+      mSimulation.Advance(5 * kMillisecond);
     }
-    mWorld.Advance(300 * kMillisecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    mSimulation.Advance(300 * kMillisecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
         address,
         std::size_t(200),
-        mWorld.Node(address).mState.mCatalog.mTargets.size());
+        mSimulation.Node(address).mState.mCatalog.mTargets.size());
     }
-    const auto tenths = (mWorld.mNow - start) / (100 * kMillisecond);
+    const auto tenths = (mSimulation.mNow - start) / (100 * kMillisecond);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(pushes), pushes <= 20 * (tenths + 8));
   }
 
@@ -130,7 +131,7 @@
     const std::string follower = "10.0.0.6:1";
     // The push of one change is lost, the next one arrives.
     bool lost = false;
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
       const bool push = aSent.mTo == follower &&
                         aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().commands_size() > 0;
@@ -138,20 +139,22 @@
       lost = lost || push;
       return lose;
     };
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
     CPPUNIT_ASSERT(
-      mWorld.Commit("10.0.0.1:1", PutTargetCommand("t", 1, false)));
-    mWorld.Advance(1500 * kMillisecond);
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutTargetCommand("t", 1, false)));
+    mSimulation.Advance(1500 * kMillisecond);
     CPPUNIT_ASSERT(lost);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), VersionAt(follower));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
-                         mWorld.Node(follower).mState.mCatalog.mTargets.size());
+    CPPUNIT_ASSERT_EQUAL(
+      std::size_t(1),
+      mSimulation.Node(follower).mState.mCatalog.mTargets.size());
   }
 
   void FollowerFarBehindTakesASnapshot()
   {
     Begin(3, 1, 0);
-    mWorld.mCutOff = { "10.0.0.4:1" };
+    mSimulation.mCutOff = { "10.0.0.4:1" };
     // Random text, so that its deflated form is large as well.
     std::mt19937_64 random(5);
     std::string large;
@@ -159,30 +162,31 @@
       large += std::to_string(random());
     }
     for (std::uint64_t version = 2; version < 12; ++version) {
-      CPPUNIT_ASSERT(mWorld.Commit(
+      CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1",
         PutPolicyCommand(
           version, version - 1, large + std::to_string(version))));
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), VersionAt("10.0.0.4:1"));
-    mWorld.mCutOff.clear();
-    CPPUNIT_ASSERT(
-      mWorld.Until(3 * kSecond, [&] { return VersionAt("10.0.0.4:1") == 11; }));
+    mSimulation.mCutOff.clear();
+    CPPUNIT_ASSERT(mSimulation.Until(
+      3 * kSecond, [&] { return VersionAt("10.0.0.4:1") == 11; }));
   }
 
   void PolicyDoesNotWaitForASnapshotThatWasLost()
   {
     Begin(3, 1, 0);
     const std::string follower = "10.0.0.4:1";
-    mWorld.mCutOff = { follower };
+    mSimulation.mCutOff = { follower };
     // So many commands that a snapshot is smaller.
     for (int i = 0; i < 400; ++i) {
-      CPPUNIT_ASSERT(mWorld.Commit(
+      CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1", PutTargetCommand("t" + std::to_string(i), 1, false)));
     }
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
     bool lost = false;
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
       const bool snapshot =
         aSent.mTo == follower && aSent.mMessage.has_follow_reply() &&
         !aSent.mMessage.follow_reply().packed_snapshot().empty();
@@ -190,50 +194,52 @@
       lost = lost || snapshot;
       return lose;
     };
-    mWorld.mCutOff.clear();
-    CPPUNIT_ASSERT(mWorld.Until(4 * kSecond, [&] { return lost; }));
+    mSimulation.mCutOff.clear();
+    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] { return lost; }));
     CPPUNIT_ASSERT(
-      mWorld.Until(kSecond, [&] { return VersionAt(follower) == 2; }));
-    CPPUNIT_ASSERT(mWorld.Until(2 * kSecond, [&] {
-      return mWorld.Node(follower).mState.mCatalog.mTargets.size() == 400;
+      mSimulation.Until(kSecond, [&] { return VersionAt(follower) == 2; }));
+    CPPUNIT_ASSERT(mSimulation.Until(2 * kSecond, [&] {
+      return mSimulation.Node(follower).mState.mCatalog.mTargets.size() == 400;
     }));
   }
 
   void LeaderLostAnotherOneCommitsWithinSeconds()
   {
     Begin(4, 2, 1);
-    const std::string lost = mWorld.Leader();
-    mWorld.Kill(lost);
+    const std::string lost = mSimulation.Leader();
+    mSimulation.Kill(lost);
     const std::string other = "10.0.0.6:1";
-    CPPUNIT_ASSERT(mWorld.Until(4 * kSecond, [&] {
-      return mWorld.Commit(other, PutPolicyCommand(2, 1, "after"));
+    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] {
+      return mSimulation.Commit(other, PutPolicyCommand(2, 1, "after"));
     }));
   }
 
   void WipedDiskIsANewMemberAndNothingIsLost()
   {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      FleetWorld world(seed);
-      world.Found(4, 2, 1);
-      WaitForVoters(world, 4);
-      CPPUNIT_ASSERT(world.Commit("10.0.0.5:1", PutPolicyCommand(1, 0, "a")));
+      FleetSimulation simulation(seed);
+      simulation.Found(4, 2, 1);
+      WaitForVoters(simulation, 4);
+      CPPUNIT_ASSERT(
+        simulation.Commit("10.0.0.5:1", PutPolicyCommand(1, 0, "a")));
       // The one that acknowledged loses its disk; the others lose power.
-      const std::string wiped = seed % 2 == 0 ? world.Leader() : "10.0.0.2:1";
-      for (const std::string& address : world.Addresses()) {
-        world.Kill(address);
+      const std::string wiped =
+        seed % 2 == 0 ? simulation.Leader() : "10.0.0.2:1";
+      for (const std::string& address : simulation.Addresses()) {
+        simulation.Kill(address);
       }
-      world.Wipe(wiped);
-      world.Advance(kSecond);
-      for (const std::string& address : world.Addresses()) {
-        world.Start(address, false);
+      simulation.Wipe(wiped);
+      simulation.Advance(kSecond);
+      for (const std::string& address : simulation.Addresses()) {
+        simulation.Start(address, false);
       }
-      CPPUNIT_ASSERT(world.Until(8 * kSecond, [&] {
-        const std::vector<std::string> all = world.Addresses();
+      CPPUNIT_ASSERT(simulation.Until(8 * kSecond, [&] {
+        const std::vector<std::string> all = simulation.Addresses();
         return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
-          return world.Node(aAddress).mState.mCatalog.mVersion == 1;
+          return simulation.Node(aAddress).mState.mCatalog.mVersion == 1;
         });
       }));
-      WaitForVoters(world, 4);
+      WaitForVoters(simulation, 4);
     }
   }
 
@@ -241,20 +247,20 @@
   {
     Begin(4, 1, 1);
     // 10.0.0.4 is no seed; it leads once the others have handed over.
-    CPPUNIT_ASSERT(mWorld.Until(20 * kSecond, [&] {
-      const std::string leader = mWorld.Leader();
+    CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
+      const std::string leader = mSimulation.Leader();
       if (!leader.empty() && leader != "10.0.0.4:1") {
-        mWorld.Kill(leader);
-        mWorld.Advance(2 * kSecond);
-        mWorld.Start(leader, false);
-        mWorld.Advance(kSecond);
+        mSimulation.Kill(leader);
+        mSimulation.Advance(2 * kSecond);
+        mSimulation.Start(leader, false);
+        mSimulation.Advance(kSecond);
       }
-      return mWorld.Leader() == "10.0.0.4:1";
+      return mSimulation.Leader() == "10.0.0.4:1";
     }));
-    mWorld.Kill("10.0.0.1:1");
-    mWorld.Wipe("10.0.0.1:1");
-    mWorld.Start("10.0.0.1:1", false);
-    CPPUNIT_ASSERT(mWorld.Until(8 * kSecond, [&] {
+    mSimulation.Kill("10.0.0.1:1");
+    mSimulation.Wipe("10.0.0.1:1");
+    mSimulation.Start("10.0.0.1:1", false);
+    CPPUNIT_ASSERT(mSimulation.Until(8 * kSecond, [&] {
       return VersionAt("10.0.0.1:1") == 1 && IsVoter("10.0.0.1:1");
     }));
   }
@@ -265,17 +271,17 @@
     for (int round = 0; round < 3; ++round) {
       const std::string lost = "10.0.0." + std::to_string(round + 1) + ":1";
       const std::string next = "10.0.1." + std::to_string(round + 1) + ":1";
-      mWorld.Kill(lost);
-      mWorld.Advance(kSecond);
+      mSimulation.Kill(lost);
+      mSimulation.Advance(kSecond);
       // The seeds of a later start are hosts that are up then.
-      mWorld.SetSeeds({ "10.0.0.4:1" });
-      mWorld.Add(next, true);
-      mWorld.Start(next, false);
-      CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] {
-        return mWorld.Voters() == 4 && IsVoter(next) && !IsVoter(lost);
+      mSimulation.SetSeeds({ "10.0.0.4:1" });
+      mSimulation.Add(next, true);
+      mSimulation.Start(next, false);
+      CPPUNIT_ASSERT(mSimulation.Until(10 * kSecond, [&] {
+        return mSimulation.Voters() == 4 && IsVoter(next) && !IsVoter(lost);
       }));
       const auto version = static_cast<std::uint64_t>(round) + 2;
-      CPPUNIT_ASSERT(mWorld.Commit(
+      CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.5:1", PutPolicyCommand(version, version - 1, "next")));
     }
   }
@@ -283,27 +289,29 @@
   void MemberRemovedWhileCutOffJoinsAgain()
   {
     Begin(4, 1, 1);
-    const std::string cut = mWorld.Leader();
-    mWorld.mCutOff = { cut };
-    mWorld.Advance(4 * kSecond);
-    mWorld.Add("10.0.1.1:1", true);
-    mWorld.Start("10.0.1.1:1", false);
-    CPPUNIT_ASSERT(mWorld.Until(
+    const std::string cut = mSimulation.Leader();
+    mSimulation.mCutOff = { cut };
+    mSimulation.Advance(4 * kSecond);
+    mSimulation.Add("10.0.1.1:1", true);
+    mSimulation.Start("10.0.1.1:1", false);
+    CPPUNIT_ASSERT(mSimulation.Until(
       8 * kSecond, [&] { return IsVoter("10.0.1.1:1") && !IsVoter(cut); }));
-    mWorld.mCutOff.clear();
-    CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] { return IsVoter(cut); }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(5), mWorld.Voters());
+    mSimulation.mCutOff.clear();
+    CPPUNIT_ASSERT(
+      mSimulation.Until(10 * kSecond, [&] { return IsVoter(cut); }));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(5), mSimulation.Voters());
   }
 
   void CutOffHostAcknowledgesNothing()
   {
     Begin(4, 2, 1);
     for (const std::string& address :
-         { std::string("10.0.0.6:1"), mWorld.Leader() }) {
-      mWorld.mCutOff = { address };
-      CPPUNIT_ASSERT(!mWorld.Commit(address, PutTargetCommand("t", 5, true)));
-      mWorld.mCutOff.clear();
-      mWorld.Advance(3 * kSecond);
+         { std::string("10.0.0.6:1"), mSimulation.Leader() }) {
+      mSimulation.mCutOff = { address };
+      CPPUNIT_ASSERT(
+        !mSimulation.Commit(address, PutTargetCommand("t", 5, true)));
+      mSimulation.mCutOff.clear();
+      mSimulation.Advance(3 * kSecond);
     }
   }
 
@@ -314,77 +322,79 @@
     for (int i = 5; i <= 8; ++i) {
       const std::string address = "10.0.0." + std::to_string(i) + ":1";
       submitted.emplace_back(
-        address, mWorld.Submit(address, PutPolicyCommand(2, 1, address)));
+        address, mSimulation.Submit(address, PutPolicyCommand(2, 1, address)));
     }
-    mWorld.Advance(kSecond);
+    mSimulation.Advance(kSecond);
     int accepted = 0;
     std::string winner;
     for (const auto& [address, id] : submitted) {
-      const Done& done = mWorld.Node(address).mDone.at(id);
+      const Done& done = mSimulation.Node(address).mDone.at(id);
       CPPUNIT_ASSERT(done.mEnd == SubmitEnd::Committed);
       accepted += done.mOutcome.accepted() ? 1 : 0;
       winner = done.mOutcome.accepted() ? address : winner;
     }
     CPPUNIT_ASSERT_EQUAL(1, accepted);
-    CPPUNIT_ASSERT_EQUAL(winner,
-                         mWorld.Node("10.0.0.8:1").mState.mCatalog.mDocument);
+    CPPUNIT_ASSERT_EQUAL(
+      winner, mSimulation.Node("10.0.0.8:1").mState.mCatalog.mDocument);
   }
 
   void ResentChangeIsAcknowledgedAfterRestartsAndSnapshots()
   {
     Begin(3, 1, 0);
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two")));
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two")));
     for (std::uint64_t i = 1; i <= 300; ++i) {
-      CPPUNIT_ASSERT(mWorld.Commit(
+      CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1", PutTargetCommand("t" + std::to_string(i), 1, false)));
     }
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mWorld.Until(4 * kSecond, [&] {
-      return mWorld.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two"));
+    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] {
+      return mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two"));
     }));
     CPPUNIT_ASSERT(
-      !mWorld.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "another two")));
+      !mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "another two")));
   }
 
   // Guards against a change that is acknowledged by the answer to another one.
   void AnswerToAnEarlierLifesCommandAcknowledgesNothing()
   {
-    FleetWorld world(7);
-    world.Found(3, 2, 1);
-    world.Advance(2 * kSecond);
+    FleetSimulation simulation(7);
+    simulation.Found(3, 2, 1);
+    simulation.Advance(2 * kSecond);
     const std::string host = "10.0.0.5:1";
     const std::uint64_t before =
-      world.Submit(host, PutPolicyCommand(1, 0, "one"));
-    world.Kill(host);
-    world.Start(host, false);
-    (void)world.Submit(host, PutPolicyCommand(2, 0, "two"));
+      simulation.Submit(host, PutPolicyCommand(1, 0, "one"));
+    simulation.Kill(host);
+    simulation.Start(host, false);
+    (void)simulation.Submit(host, PutPolicyCommand(2, 0, "two"));
     wire::FleetMessage late;
     late.set_from_address("10.0.0.1:1");
     late.mutable_submit_reply()->set_id(before);
     late.mutable_submit_reply()->mutable_outcome()->set_accepted(true);
     Output output;
-    Receive(world.Node(host).mState, world.mNow, 1, late, output);
+    Receive(simulation.Node(host).mState, simulation.mNow, 1, late, output);
     CPPUNIT_ASSERT(output.mDone.empty());
   }
 
   void AllKilledAtOnceAreBackWithWhatWasAcknowledged()
   {
     Begin(4, 3, 1);
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.7:1", PutPolicyCommand(2, 1, "two")));
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.7:1", PutPolicyCommand(2, 1, "two")));
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(
-      mWorld.Until(4 * kSecond, [&] { return VersionAt("10.0.0.7:1") == 2; }));
+    CPPUNIT_ASSERT(mSimulation.Until(
+      4 * kSecond, [&] { return VersionAt("10.0.0.7:1") == 2; }));
   }
 
   // From a quorum being up to all hosts served: 226 ms at the worst of 20 seeds
@@ -393,30 +403,31 @@
   {
     Micros worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      FleetWorld world(seed);
-      world.Found(3, 6, 1);
-      WaitForVoters(world, 3);
-      CPPUNIT_ASSERT(world.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
-      for (const std::string& address : world.Addresses()) {
-        world.Kill(address);
+      FleetSimulation simulation(seed);
+      simulation.Found(3, 6, 1);
+      WaitForVoters(simulation, 3);
+      CPPUNIT_ASSERT(
+        simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
+      for (const std::string& address : simulation.Addresses()) {
+        simulation.Kill(address);
       }
-      world.Advance(kSecond);
+      simulation.Advance(kSecond);
       for (const int host : { 4, 5, 6, 7, 8, 9, 1, 2 }) {
-        world.Start("10.0.0." + std::to_string(host) + ":1", false);
-        world.Advance(host == 1 ? 70 * kMillisecond : 0);
+        simulation.Start("10.0.0." + std::to_string(host) + ":1", false);
+        simulation.Advance(host == 1 ? 70 * kMillisecond : 0);
       }
-      const Micros quorumAt = world.mNow;
-      CPPUNIT_ASSERT(world.Until(2 * kSecond, [&] {
+      const Micros quorumAt = simulation.mNow;
+      CPPUNIT_ASSERT(simulation.Until(2 * kSecond, [&] {
         for (int host = 4; host <= 9; ++host) {
           const State& state =
-            world.Node("10.0.0." + std::to_string(host) + ":1").mState;
+            simulation.Node("10.0.0." + std::to_string(host) + ":1").mState;
           if (state.mCatalog.mVersion != 1) {
             return false;
           }
         }
         return true;
       }));
-      worst = std::max(worst, world.mNow - quorumAt);
+      worst = std::max(worst, simulation.mNow - quorumAt);
     }
     CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst < 150 * kMillisecond);
   }
@@ -426,34 +437,35 @@
     Begin(3, 6, 1);
     // A snapshot holds the first policy, the log behind it the second one.
     for (int target = 0; target < 230; ++target) {
-      CPPUNIT_ASSERT(mWorld.Commit(
+      CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1",
         PutTargetCommand("t" + std::to_string(target), 1, false)));
     }
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
     // The new leader commits nothing for a while, so that it holds no more than
     // what its disk knew to be committed.
-    const Micros restarted = mWorld.mNow;
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
-      return mWorld.mNow < restarted + 800 * kMillisecond &&
+    const Micros restarted = mSimulation.mNow;
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+      return mSimulation.mNow < restarted + 800 * kMillisecond &&
              aSent.mMessage.has_consensus() &&
              aSent.mMessage.consensus().append_reply().success();
     };
     for (int step = 0; step < 400; ++step) {
-      mWorld.Advance(10 * kMillisecond);
+      mSimulation.Advance(10 * kMillisecond);
       for (int host = 4; host <= 9; ++host) {
         const std::string address = "10.0.0." + std::to_string(host) + ":1";
         CPPUNIT_ASSERT_MESSAGE(address, VersionAt(address) != 1);
       }
     }
-    for (const std::string& address : mWorld.Addresses()) {
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), VersionAt(address));
     }
   }
@@ -461,21 +473,21 @@
   void HostsOutOfTouchFollowAsSoonAsTheGroupIsBack()
   {
     Begin(3, 6, 1);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mWorld.Until(3 * kSecond, [&] {
-      const std::string leader = mWorld.Leader();
+    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] {
+      const std::string leader = mSimulation.Leader();
       return !leader.empty() &&
-             IsInTouch(mWorld.Node(leader).mState, mWorld.mNow);
+             IsInTouch(mSimulation.Node(leader).mState, mSimulation.mNow);
     }));
     // A few trips; reports alone would come up to 400 ms later.
-    mWorld.Advance(40 * kMillisecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    mSimulation.Advance(40 * kMillisecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
         address, std::uint64_t(1), VersionAt(address));
     }
@@ -484,18 +496,19 @@
   void StoppingHostLeavesEveryHostsListAtOnce()
   {
     Begin(4, 4, 1);
-    for (const std::string& address : mWorld.Addresses()) {
+    for (const std::string& address : mSimulation.Addresses()) {
       Output output;
-      SetReady(mWorld.Node(address).mState, mWorld.mNow, true, output);
+      SetReady(
+        mSimulation.Node(address).mState, mSimulation.mNow, true, output);
     }
-    mWorld.Advance(2 * kSecond);
+    mSimulation.Advance(2 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t(8), ReadyAt("10.0.0.5:1"));
     for (const std::string& address :
-         { std::string("10.0.0.8:1"), mWorld.Leader() }) {
+         { std::string("10.0.0.8:1"), mSimulation.Leader() }) {
       Output output;
       const std::size_t before = ReadyAt("10.0.0.5:1");
-      BeginStop(mWorld.Node(address).mState, mWorld.mNow, output);
-      mWorld.Advance(kSecond);
+      BeginStop(mSimulation.Node(address).mState, mSimulation.mNow, output);
+      mSimulation.Advance(kSecond);
       CPPUNIT_ASSERT_EQUAL(before - 1, ReadyAt("10.0.0.5:1"));
     }
   }
@@ -505,17 +518,17 @@
   {
     Begin(5, 20, 2);
     const std::set<std::string> minority = { "10.0.0.1:1", "10.0.0.2:1" };
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
-      const bool control = mWorld.Node(aSent.mFrom).mSettings.mControl &&
-                           mWorld.Node(aSent.mTo).mSettings.mControl;
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+      const bool control = mSimulation.Node(aSent.mFrom).mSettings.mControl &&
+                           mSimulation.Node(aSent.mTo).mSettings.mControl;
       return control &&
              minority.count(aSent.mFrom) != minority.count(aSent.mTo);
     };
-    CPPUNIT_ASSERT(mWorld.Until(5 * kSecond, [&] {
-      return mWorld.Commit("10.0.0.9:1", PutPolicyCommand(2, 1, "two"));
+    CPPUNIT_ASSERT(mSimulation.Until(5 * kSecond, [&] {
+      return mSimulation.Commit("10.0.0.9:1", PutPolicyCommand(2, 1, "two"));
     }));
-    mWorld.Advance(2 * kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    mSimulation.Advance(2 * kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       if (minority.count(address) == 0) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
           address, std::uint64_t(2), VersionAt(address));
@@ -526,12 +539,13 @@
   void EveryHostKnowsAllOthersThoughMessagesAreLost()
   {
     std::mt19937_64 random(3);
-    mWorld.mLose = [&](const fakes::Sent&) { return random() % 20 == 0; };
-    mWorld.Found(4, 12, 1);
-    CPPUNIT_ASSERT(mWorld.Until(20 * kSecond, [&] {
-      const std::vector<std::string> all = mWorld.Addresses();
+    mSimulation.mLose = [&](const fakes::Sent&) { return random() % 20 == 0; };
+    mSimulation.Found(4, 12, 1);
+    CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
+      const std::vector<std::string> all = mSimulation.Addresses();
       return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
-        return LiveHosts(mWorld.Node(aAddress).mState, mWorld.mNow) == 16;
+        return LiveHosts(mSimulation.Node(aAddress).mState, mSimulation.mNow) ==
+               16;
       });
     }));
   }
@@ -540,11 +554,12 @@
   void HostsOutOfTouchKeepCountingTheOthers()
   {
     Begin(4, 6, 1);
-    mWorld.mCutOff = { "10.0.0.1:1", "10.0.0.2:1" };
-    mWorld.Advance(8 * kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
+    mSimulation.mCutOff = { "10.0.0.1:1", "10.0.0.2:1" };
+    mSimulation.Advance(8 * kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_MESSAGE(
-        address, LiveHosts(mWorld.Node(address).mState, mWorld.mNow) >= 8);
+        address,
+        LiveHosts(mSimulation.Node(address).mState, mSimulation.mNow) >= 8);
     }
   }
 
@@ -552,20 +567,20 @@
   {
     // At any point between the reports.
     for (int offset = 0; offset < 8; ++offset) {
-      mWorld = FleetWorld(static_cast<std::uint64_t>(offset + 1));
+      mSimulation = FleetSimulation(static_cast<std::uint64_t>(offset + 1));
       Begin(4, 11, 1);
-      mWorld.Advance(3 * kSecond + offset * 150 * kMillisecond);
+      mSimulation.Advance(3 * kSecond + offset * 150 * kMillisecond);
       const std::string dead =
         "10.0.0." + std::to_string(1 + offset % 4) + ":1";
-      mWorld.Kill(dead);
+      mSimulation.Kill(dead);
       for (int step = 0; step < 500; ++step) {
-        mWorld.Advance(10 * kMillisecond);
-        for (const std::string& address : mWorld.Addresses()) {
+        mSimulation.Advance(10 * kMillisecond);
+        for (const std::string& address : mSimulation.Addresses()) {
           CPPUNIT_ASSERT_MESSAGE(
             dead + " lost, seen at " + address + " after " +
               std::to_string(step * 10) + " ms",
-            address == dead ||
-              LiveHosts(mWorld.Node(address).mState, mWorld.mNow) >= 14);
+            address == dead || LiveHosts(mSimulation.Node(address).mState,
+                                         mSimulation.mNow) >= 14);
         }
       }
     }
@@ -577,14 +592,14 @@
     std::uint64_t version = 1;
     for (const char* address :
          { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1" }) {
-      mWorld.mCutOff = { address };
-      CPPUNIT_ASSERT(mWorld.Until(5 * kSecond, [&] {
-        return mWorld.Commit("10.0.0.5:1",
-                             PutPolicyCommand(version + 1, version, "x"));
+      mSimulation.mCutOff = { address };
+      CPPUNIT_ASSERT(mSimulation.Until(5 * kSecond, [&] {
+        return mSimulation.Commit("10.0.0.5:1",
+                                  PutPolicyCommand(version + 1, version, "x"));
       }));
       ++version;
-      mWorld.mCutOff.clear();
-      mWorld.Advance(4 * kSecond);
+      mSimulation.mCutOff.clear();
+      mSimulation.Advance(4 * kSecond);
     }
   }
 
@@ -593,49 +608,49 @@
   void HostsWhoseSeedsKnowNothingAreFoundByTheGroup()
   {
     Begin(3, 16, 1);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Kill(address);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Kill(address);
     }
-    mWorld.Wipe("10.0.0.2:1");
-    mWorld.Reseed({ "10.0.0.9:1", "10.0.0.12:1", "10.0.0.17:1" });
-    mWorld.Advance(kSecond);
-    for (const std::string& address : mWorld.Addresses()) {
-      mWorld.Start(address, false);
+    mSimulation.Wipe("10.0.0.2:1");
+    mSimulation.Reseed({ "10.0.0.9:1", "10.0.0.12:1", "10.0.0.17:1" });
+    mSimulation.Advance(kSecond);
+    for (const std::string& address : mSimulation.Addresses()) {
+      mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mWorld.Until(3 * kSecond, [&] { return AllServe(1); }));
+    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] { return AllServe(1); }));
     CPPUNIT_ASSERT(
-      mWorld.Until(6 * kSecond, [&] { return IsVoter("10.0.0.2:1"); }));
+      mSimulation.Until(6 * kSecond, [&] { return IsVoter("10.0.0.2:1"); }));
   }
 
   void HostRestartedAloneWithFollowersAsSeedsIsReferred()
   {
     Begin(3, 6, 1);
-    mWorld.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
-    mWorld.Kill("10.0.0.9:1");
-    mWorld.Advance(200 * kMillisecond);
-    mWorld.Start("10.0.0.9:1", false);
-    CPPUNIT_ASSERT(mWorld.Until(kSecond, [&] { return AllServe(1); }));
+    mSimulation.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
+    mSimulation.Kill("10.0.0.9:1");
+    mSimulation.Advance(200 * kMillisecond);
+    mSimulation.Start("10.0.0.9:1", false);
+    CPPUNIT_ASSERT(mSimulation.Until(kSecond, [&] { return AllServe(1); }));
   }
 
   // The voters run on with the seeds that they were started with.
   void RestartedFollowersInACircleAreFoundByARunningGroup()
   {
     Begin(3, 6, 1);
-    mWorld.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
+    mSimulation.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
     for (int host = 4; host <= 9; ++host) {
-      mWorld.Kill("10.0.0." + std::to_string(host) + ":1");
+      mSimulation.Kill("10.0.0." + std::to_string(host) + ":1");
     }
-    mWorld.Advance(500 * kMillisecond);
+    mSimulation.Advance(500 * kMillisecond);
     for (int host = 4; host <= 9; ++host) {
-      mWorld.Start("10.0.0." + std::to_string(host) + ":1", false);
+      mSimulation.Start("10.0.0." + std::to_string(host) + ":1", false);
     }
-    CPPUNIT_ASSERT(mWorld.Until(3 * kSecond, [&] { return AllServe(1); }));
+    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] { return AllServe(1); }));
   }
 
   void OldWordOfTheGroupNeverReplacesANewerOne()
   {
     Begin(3, 3, 1);
-    FleetNode& node = mWorld.Node("10.0.0.6:1");
+    FleetNode& node = mSimulation.Node("10.0.0.6:1");
     const std::vector<std::string> known = node.mState.mControlAddresses;
     CPPUNIT_ASSERT(node.mState.mControlDate.mTerm > 0);
     wire::FleetMessage message;
@@ -647,7 +662,7 @@
       reply.set_control_term(aTerm);
       reply.set_control_index(aIndex);
       Output output;
-      Receive(node.mState, mWorld.mNow, 1, message, output);
+      Receive(node.mState, mSimulation.mNow, 1, message, output);
     };
     const ControlDate date = node.mState.mControlDate;
     tell(date.mTerm - 1, date.mIndex + 1000);
@@ -665,19 +680,19 @@
   {
     Begin(3, 40, 1);
     int introduced = 0;
-    mWorld.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::Sent& aSent) {
       introduced += aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().brief()
                       ? 1
                       : 0;
       return false;
     };
-    mWorld.Advance(4 * kSecond);
+    mSimulation.Advance(4 * kSecond);
     CPPUNIT_ASSERT_EQUAL(0, introduced);
     for (int host = 10; host <= 43; ++host) {
-      mWorld.Kill("10.0.0." + std::to_string(host) + ":1");
+      mSimulation.Kill("10.0.0." + std::to_string(host) + ":1");
     }
-    mWorld.Advance(4 * kSecond);
+    mSimulation.Advance(4 * kSecond);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(introduced),
                            introduced > 0 && introduced <= 3 * 10 * 7);
   }
@@ -696,16 +711,16 @@
   // What is wrong after a random schedule of losses; empty when nothing is.
   static std::string PlayLosses(std::uint64_t aSeed)
   {
-    FleetWorld world(aSeed);
+    FleetSimulation simulation(aSeed);
     std::mt19937_64 random(aSeed);
     const auto below = [&](std::uint64_t aMost) {
       return static_cast<int>(random() % aMost);
     };
     const int disks = 3 + below(3);
     const int hosts = disks + 3 + below(8);
-    world.Found(disks, hosts - disks, 1);
-    WaitForVoters(world, static_cast<std::size_t>(disks));
-    if (!world.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
+    simulation.Found(disks, hosts - disks, 1);
+    WaitForVoters(simulation, static_cast<std::size_t>(disks));
+    if (!simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
       return "no first policy";
     }
     const auto any = [&] {
@@ -716,108 +731,111 @@
     for (int step = 0; step < 6; ++step) {
       switch (below(5)) {
         case 0:
-          world.Reseed({ any(), any(), any() });
+          simulation.Reseed({ any(), any(), any() });
           break;
         case 1:
-          for (const std::string& address : world.Addresses()) {
-            world.Kill(address);
+          for (const std::string& address : simulation.Addresses()) {
+            simulation.Kill(address);
             down.insert(address);
           }
           break;
         case 2:
           for (int i = 0; i < hosts / 2; ++i) {
             const std::string address = any();
-            world.Kill(address);
+            simulation.Kill(address);
             down.insert(address);
           }
           break;
         case 3: {
           const std::string address = any();
           const bool another = wiped;
-          world.Kill(address);
+          simulation.Kill(address);
           down.insert(address);
-          if (world.Node(address).mSettings.mControl && !another) {
-            world.Wipe(address);
+          if (simulation.Node(address).mSettings.mControl && !another) {
+            simulation.Wipe(address);
             wiped = true;
           }
           break;
         }
         default:
-          world.mCutOff.insert(any());
+          simulation.mCutOff.insert(any());
           break;
       }
-      world.Advance(below(1500) * kMillisecond);
+      simulation.Advance(below(1500) * kMillisecond);
       for (const std::string& address : down) {
-        world.Start(address, false);
+        simulation.Start(address, false);
       }
       down.clear();
       if (below(2) == 0) {
-        world.mCutOff.clear();
+        simulation.mCutOff.clear();
       }
-      world.Advance(below(2000) * kMillisecond);
+      simulation.Advance(below(2000) * kMillisecond);
     }
-    world.mCutOff.clear();
+    simulation.mCutOff.clear();
     const auto serves = [&] {
-      const std::vector<std::string> all = world.Addresses();
+      const std::vector<std::string> all = simulation.Addresses();
       return std::all_of(
         all.begin(), all.end(), [&](const std::string& aAddress) {
-          const State& state = world.Node(aAddress).mState;
-          return state.mCatalog.mVersion == 1 && IsInTouch(state, world.mNow);
+          const State& state = simulation.Node(aAddress).mState;
+          return state.mCatalog.mVersion == 1 &&
+                 IsInTouch(state, simulation.mNow);
         });
     };
-    return world.Until(8 * kSecond, serves) ? "" : "a host does not serve";
+    return simulation.Until(8 * kSecond, serves) ? "" : "a host does not serve";
   }
 
   bool AllServe(std::uint64_t aVersion)
   {
-    const std::vector<std::string> all = mWorld.Addresses();
+    const std::vector<std::string> all = mSimulation.Addresses();
     return std::all_of(all.begin(), all.end(), [&](const std::string& aHost) {
       return VersionAt(aHost) == aVersion &&
-             (mWorld.Node(aHost).mSettings.mControl ||
-              IsInTouch(mWorld.Node(aHost).mState, mWorld.mNow));
+             (mSimulation.Node(aHost).mSettings.mControl ||
+              IsInTouch(mSimulation.Node(aHost).mState, mSimulation.mNow));
     });
   }
 
-  static void WaitForVoters(FleetWorld& aWorld, std::size_t aCount)
+  static void WaitForVoters(FleetSimulation& aSimulation, std::size_t aCount)
   {
-    CPPUNIT_ASSERT(
-      aWorld.Until(10 * kSecond, [&] { return aWorld.Voters() == aCount; }));
+    CPPUNIT_ASSERT(aSimulation.Until(
+      10 * kSecond, [&] { return aSimulation.Voters() == aCount; }));
   }
 
   // A fleet whose disks all vote, with version 1 in force.
   void Begin(int aDisks, int aOthers, int aTolerated)
   {
-    mWorld.Found(aDisks, aOthers, aTolerated);
-    WaitForVoters(mWorld, static_cast<std::size_t>(aDisks));
-    CPPUNIT_ASSERT(mWorld.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
-    mWorld.Advance(kSecond);
+    mSimulation.Found(aDisks, aOthers, aTolerated);
+    WaitForVoters(mSimulation, static_cast<std::size_t>(aDisks));
+    CPPUNIT_ASSERT(
+      mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
+    mSimulation.Advance(kSecond);
   }
 
   std::uint64_t VersionAt(const std::string& aAddress)
   {
-    return mWorld.Node(aAddress).mState.mCatalog.mVersion;
+    return mSimulation.Node(aAddress).mState.mCatalog.mVersion;
   }
 
   std::size_t ReadyAt(const std::string& aAddress)
   {
-    return ReadyHosts(mWorld.Node(aAddress).mState, mWorld.mNow).size();
+    return ReadyHosts(mSimulation.Node(aAddress).mState, mSimulation.mNow)
+      .size();
   }
 
   bool IsVoter(const std::string& aAddress)
   {
-    const std::string leader = mWorld.Leader();
+    const std::string leader = mSimulation.Leader();
     if (leader.empty()) {
       return false;
     }
     const auto& members =
-      mWorld.Node(leader).mState.mGroup.mMembership.members();
+      mSimulation.Node(leader).mState.mGroup.mMembership.members();
     return std::any_of(
       members.begin(), members.end(), [&](const wire::Member& aMember) {
         return aMember.address() == aAddress && aMember.voter();
       });
   }
 
-  FleetWorld mWorld{ 7 };
+  FleetSimulation mSimulation{ 7 };
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetTest);
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -9,7 +9,7 @@
 namespace geraniumpond::fleet {
 
 using fakes::ChangeTimes;
-using fakes::FleetWorld;
+using fakes::FleetSimulation;
 using fakes::HostTrouble;
 using fakes::PutPolicyCommand;
 
@@ -122,7 +122,7 @@
 private:
   void Begin(int aDataCentres, int aOthers)
   {
-    mWorld = FleetWorld(mRandom());
+    mWorld = FleetSimulation(mRandom());
     mWorld.FoundSpread(aDataCentres, aOthers, (aDataCentres - 1) / 2);
     CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] {
       return mWorld.Voters() == static_cast<std::size_t>(aDataCentres);
@@ -132,7 +132,7 @@
     mWorld.Advance(10 * kSecond);
   }
 
-  FleetWorld mWorld;
+  FleetSimulation mWorld;
   std::mt19937_64 mRandom{ 36 };
 };
 
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -18,7 +18,7 @@
 // nothing new, in a fleet of many hosts.
 double WorkOfAReport(int aOthers)
 {
-  fakes::FleetWorld world(7);
+  fakes::FleetSimulation world(7);
   world.FoundSpread(6, aOthers, 2);
   world.Advance(8 * kSecond);
   State& control = world.Node("10.0.0.1:1").mState;
