--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -54,7 +54,7 @@
 
   std::string Play()
   {
-    mSimulation.mLose = [this](const Sent& aSent) {
+    mSimulation.mLose = [this](const SentMessage& aSent) {
       return IsBetweenHalves(aSent);
     };
     const bool heedless = mSchedule.mPlant == FleetPlant::Size;
@@ -401,7 +401,7 @@
     });
   }
 
-  bool IsBetweenHalves(const Sent& aSent)
+  bool IsBetweenHalves(const SentMessage& aSent)
   {
     return mSimulation.IsControl(aSent.mFrom) &&
            mSimulation.IsControl(aSent.mTo) &&
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -148,7 +148,7 @@
       PendingSync{ aAddress, node.mSettings.mIncarnation, write.mSequence });
   }
   for (const auto& [to, message] : aOutput.mMessages) {
-    Sent sent{ aAddress, to, message };
+    SentMessage sent{ aAddress, to, message };
     if (mForgesChecks && message.consensus().has_leader_check()) {
       ForgeReply(sent);
     }
@@ -166,10 +166,10 @@
   }
 }
 
-void FleetSimulation::ForgeReply(const Sent& aCheck)
+void FleetSimulation::ForgeReply(const SentMessage& aCheck)
 {
   const wire::ConsensusMessage& check = aCheck.mMessage.consensus();
-  Sent reply;
+  SentMessage reply;
   reply.mFrom = aCheck.mTo;
   reply.mTo = aCheck.mFrom;
   reply.mMessage.set_from_address(aCheck.mTo);
@@ -245,7 +245,7 @@
     mNow += kStepTime;
     SyncDue();
     while (!mQueue.empty() && mQueue.begin()->first <= mNow) {
-      const Sent sent = std::move(mQueue.begin()->second);
+      const SentMessage sent = std::move(mQueue.begin()->second);
       mQueue.erase(mQueue.begin());
       const auto node = mNodes.find(sent.mTo);
       if (node != mNodes.end() && node->second.mAlive) {
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -33,7 +33,7 @@
 };
 
 /// \brief A message on its way.
-struct Sent
+struct SentMessage
 {
   std::string mFrom;
   std::string mTo;
@@ -135,7 +135,7 @@
   /// Hosts whose disks answer nothing.
   std::set<std::string> mStalled;
   /// Messages for which it returns true are lost.
-  std::function<bool(const Sent&)> mLose;
+  std::function<bool(const SentMessage&)> mLose;
   /// A planted fault: a loss of power takes what was synced last.
   bool mForgetsSynced = false;
   /// A planted fault: whoever asks whether it leads is told so at once.
@@ -149,7 +149,7 @@
                            const std::string& aTo) const;
   void TakeArrived(const std::string& aAddress, FleetNode& aNode);
   [[nodiscard]] bool IsFree(const FleetNode& aNode) const;
-  void ForgeReply(const Sent& aCheck);
+  void ForgeReply(const SentMessage& aCheck);
   void Charge(FleetNode& aNode, const wire::FleetMessage& aMessage);
   void Sync(FleetNode& aNode, std::uint64_t aSequence);
   void SyncDue();
@@ -159,7 +159,7 @@
   std::vector<std::string> mSeeds;
   int mTolerated = 0;
   std::map<std::string, FleetNode> mNodes;
-  std::multimap<Micros, Sent> mQueue;
+  std::multimap<Micros, SentMessage> mQueue;
   std::multimap<Micros, PendingSync> mSyncs;
   std::uint64_t mIncarnation = 0;
 };
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -377,7 +377,7 @@
   void LearnerThatNeverCatchesUpIsForgotten()
   {
     FleetSimulation simulation = Founded();
-    simulation.mLose = [](const fakes::Sent& aSent) {
+    simulation.mLose = [](const fakes::SentMessage& aSent) {
       return aSent.mTo == kNewcomer;
     };
     simulation.Add(kNewcomer, true);
@@ -431,7 +431,7 @@
     const std::string leaves = Founder(2);
     simulation.Stop(leaves);
     bool joins = false;
-    simulation.mLose = [&](const fakes::Sent& aSent) {
+    simulation.mLose = [&](const fakes::SentMessage& aSent) {
       joins = joins || (aSent.mFrom == leaves && aSent.mMessage.has_join());
       return false;
     };
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -92,7 +92,7 @@
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
     mSimulation.Advance(2 * kSecond);
-    mSimulation.mLose = [](const fakes::Sent& aSent) {
+    mSimulation.mLose = [](const fakes::SentMessage& aSent) {
       return aSent.mMessage.has_follow_reply() && aSent.mTo == kReader;
     };
     CPPUNIT_ASSERT(mSimulation.Commit(kControl, PutPolicyCommand(2, 1, "two")));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -101,7 +101,7 @@
   {
     Begin(3, 20, 1);
     int pushes = 0;
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       pushes += aSent.mMessage.has_follow_reply() &&
                     aSent.mMessage.follow_reply().commands_size() > 0
                   ? 1
@@ -131,7 +131,7 @@
     const std::string follower = "10.0.0.6:1";
     // The push of one change is lost, the next one arrives.
     bool lost = false;
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       const bool push = aSent.mTo == follower &&
                         aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().commands_size() > 0;
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
     bool lost = false;
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       const bool snapshot =
         aSent.mTo == follower && aSent.mMessage.has_follow_reply() &&
         !aSent.mMessage.follow_reply().packed_snapshot().empty();
@@ -453,7 +453,7 @@
     // The new leader commits nothing for a while, so that it holds no more than
     // what its disk knew to be committed.
     const Micros restarted = mSimulation.mNow;
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       return mSimulation.mNow < restarted + 800 * kMillisecond &&
              aSent.mMessage.has_consensus() &&
              aSent.mMessage.consensus().append_reply().success();
@@ -518,7 +518,7 @@
   {
     Begin(5, 20, 2);
     const std::set<std::string> minority = { "10.0.0.1:1", "10.0.0.2:1" };
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       const bool control = mSimulation.Node(aSent.mFrom).mSettings.mControl &&
                            mSimulation.Node(aSent.mTo).mSettings.mControl;
       return control &&
@@ -539,7 +539,9 @@
   void EveryHostKnowsAllOthersThoughMessagesAreLost()
   {
     std::mt19937_64 random(3);
-    mSimulation.mLose = [&](const fakes::Sent&) { return random() % 20 == 0; };
+    mSimulation.mLose = [&](const fakes::SentMessage&) {
+      return random() % 20 == 0;
+    };
     mSimulation.Found(4, 12, 1);
     CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
       const std::vector<std::string> all = mSimulation.Addresses();
@@ -680,7 +682,7 @@
   {
     Begin(3, 40, 1);
     int introduced = 0;
-    mSimulation.mLose = [&](const fakes::Sent& aSent) {
+    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
       introduced += aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().brief()
                       ? 1
