--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -155,7 +155,7 @@
     if (IsCut(aAddress, to) || (mLose && mLose(sent))) {
       continue;
     }
-    Charge(node, message);
+    ChargeProcessorTime(node, message);
     mQueue.emplace(mNow + kTrip, std::move(sent));
   }
   for (const fleet::Done& done : aOutput.mDone) {
@@ -190,27 +190,28 @@
          (mCutFromControl.count(aTo) != 0 && IsControl(aFrom));
 }
 
-void FleetSimulation::Charge(FleetNode& aNode,
-                             const wire::FleetMessage& aMessage)
+void FleetSimulation::ChargeProcessorTime(FleetNode& aNode,
+                                          const wire::FleetMessage& aMessage)
 {
-  const Micros each =
-    aNode.mSettings.mControl ? mWork.mControlMessage : mWork.mOtherMessage;
+  const Micros each = aNode.mSettings.mControl
+                        ? mProcessingCost.mPerControlHostMessage
+                        : mProcessingCost.mPerOtherHostMessage;
   const auto bytes = static_cast<Micros>(aMessage.ByteSizeLong());
-  aNode.mBusyUntil =
-    std::max(aNode.mBusyUntil, mNow) + each + mWork.mKilobyte * bytes / 1024;
+  aNode.mBusyUntil = std::max(aNode.mBusyUntil, mNow) + each +
+                     mProcessingCost.mPerKilobyte * bytes / 1024;
 }
 
 // What a step's messages take is done within it.
-bool FleetSimulation::IsFree(const FleetNode& aNode) const
+bool FleetSimulation::HasProcessorTime(const FleetNode& aNode) const
 {
   return aNode.mBusyUntil < mNow + kStepTime;
 }
 
 void FleetSimulation::TakeArrived(const std::string& aAddress, FleetNode& aNode)
 {
-  while (aNode.mAlive && !aNode.mInbox.IsEmpty() && IsFree(aNode)) {
+  while (aNode.mAlive && !aNode.mInbox.IsEmpty() && HasProcessorTime(aNode)) {
     for (const wire::FleetMessage& message : aNode.mInbox.Take(1)) {
-      Charge(aNode, message);
+      ChargeProcessorTime(aNode, message);
       fleet::Output output;
       fleet::Receive(aNode.mState, mNow, Random(), message, output);
       Take(aAddress, output);
@@ -259,7 +260,8 @@
       if (mFrozen.count(address) != 0) {
         continue;
       }
-      if (node.mAlive && IsFree(node) && mNow >= fleet::NextTick(node.mState)) {
+      if (node.mAlive && HasProcessorTime(node) &&
+          mNow >= fleet::NextTick(node.mState)) {
         fleet::Output output;
         fleet::Tick(node.mState, mNow, Random(), output);
         Take(address, output);
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -49,13 +49,13 @@
 };
 
 /// \brief Time that messages take of a host; none by default.
-struct Work
+struct ProcessingCost
 {
   /// To take or to send a message, at hosts with a disk and at others.
-  Micros mControlMessage = 0;
-  Micros mOtherMessage = 0;
+  Micros mPerControlHostMessage = 0;
+  Micros mPerOtherHostMessage = 0;
   /// The same for each kilobyte.
-  Micros mKilobyte = 0;
+  Micros mPerKilobyte = 0;
 };
 
 /// \brief The whole fleet.
@@ -141,16 +141,17 @@
   /// A planted fault: whoever asks whether it leads is told so at once.
   bool mForgesChecks = false;
   Micros mNow = kSecond;
-  Work mWork;
+  ProcessingCost mProcessingCost;
 
 private:
   void Take(const std::string& aAddress, const fleet::Output& aOutput);
   [[nodiscard]] bool IsCut(const std::string& aFrom,
                            const std::string& aTo) const;
   void TakeArrived(const std::string& aAddress, FleetNode& aNode);
-  [[nodiscard]] bool IsFree(const FleetNode& aNode) const;
+  [[nodiscard]] bool HasProcessorTime(const FleetNode& aNode) const;
   void ForgeReply(const SentMessage& aCheck);
-  void Charge(FleetNode& aNode, const wire::FleetMessage& aMessage);
+  void ChargeProcessorTime(FleetNode& aNode,
+                           const wire::FleetMessage& aMessage);
   void Sync(FleetNode& aNode, std::uint64_t aSequence);
   void SyncDue();
   std::uint64_t Random() { return mRandom(); }
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -30,7 +30,7 @@
 
 // A tenth of a millisecond of a core for a message and a hundredth for a
 // kilobyte, at hosts with a quarter and a tenth of a core.
-constexpr fakes::Work kSmallHosts = { 400, 1000, 40 };
+constexpr fakes::ProcessingCost kSmallHostCost = { 400, 1000, 40 };
 
 enum class Wiped
 {
@@ -160,7 +160,7 @@
   {
     mSimulation = FleetSimulation(aCase.mSeed);
     mRandom.seed(aCase.mSeed);
-    mSimulation.mWork = kSmallHosts;
+    mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.FoundSpread(kDataCentres, kOthers, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
@@ -177,9 +177,11 @@
     }
     mSimulation.Wipe(aCase.mWiped == Wiped::Leader ? leader
                                                    : OtherThan(leader));
-    mSimulation.mWork = { kSmallHosts.mControlMessage * 100 / aCase.mPercent,
-                          kSmallHosts.mOtherMessage * 100 / aCase.mPercent,
-                          kSmallHosts.mKilobyte * 100 / aCase.mPercent };
+    mSimulation.mProcessingCost = {
+      kSmallHostCost.mPerControlHostMessage * 100 / aCase.mPercent,
+      kSmallHostCost.mPerOtherHostMessage * 100 / aCase.mPercent,
+      kSmallHostCost.mPerKilobyte * 100 / aCase.mPercent
+    };
     mSimulation.Advance(kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Node(address).mDone.clear();
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -23,7 +23,7 @@
 
 // A tenth of a millisecond of a core for a message and a hundredth for a
 // kilobyte, at hosts with a quarter and a tenth of a core.
-constexpr fakes::Work kSmallHosts = { 400, 1000, 40 };
+constexpr fakes::ProcessingCost kSmallHostCost = { 400, 1000, 40 };
 
 } // namespace
 
@@ -97,9 +97,11 @@
         mSimulation.LosePower(address);
       }
       mSimulation.Wipe("10.0.3.1:1");
-      mSimulation.mWork = { kSmallHosts.mControlMessage * 100 / percent,
-                            kSmallHosts.mOtherMessage * 100 / percent,
-                            kSmallHosts.mKilobyte * 100 / percent };
+      mSimulation.mProcessingCost = {
+        kSmallHostCost.mPerControlHostMessage * 100 / percent,
+        kSmallHostCost.mPerOtherHostMessage * 100 / percent,
+        kSmallHostCost.mPerKilobyte * 100 / percent
+      };
       mSimulation.Advance(kSecond);
       for (const std::string& address : mSimulation.Addresses()) {
         mSimulation.Start(address, false);
@@ -197,7 +199,7 @@
 private:
   void Begin()
   {
-    mSimulation.mWork = kSmallHosts;
+    mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.FoundSpread(kDataCentres, kOthers, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
