--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -66,7 +66,7 @@
 {
   const int disks = 2 * aTolerated + 2;
   fakes::FleetSimulation simulation(aSeed);
-  simulation.Found(disks, 4, aTolerated);
+  simulation.StartFleet(disks, 4, aTolerated);
   const auto voters = static_cast<std::size_t>(disks);
   (void)simulation.Until(10 * kSecond,
                          [&] { return simulation.Voters() == voters; });
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -27,7 +27,7 @@
     , mSimulation(aSeed)
     , mRandom(aSeed)
   {
-    mSimulation.FoundSpread(
+    mSimulation.StartSpreadFleet(
       mCase.mDataCentres, mCase.mOthers, (mCase.mDataCentres - 1) / 2);
     const auto voters = static_cast<std::size_t>(mCase.mDataCentres);
     if (!mSimulation.Until(kSettled,
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -60,7 +60,7 @@
     const bool heedless = mSchedule.mPlant == FleetPlant::Size;
     mSimulation.mForgetsSynced = mSchedule.mPlant == FleetPlant::Sync;
     mSimulation.mForgesChecks = mSchedule.mPlant == FleetPlant::Read;
-    mSimulation.Found(
+    mSimulation.StartFleet(
       mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
     if (!mSimulation.Until(10 * kSecond,
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -62,7 +62,7 @@
   Take(aAddress, output);
 }
 
-void FleetSimulation::Found(int aDisks, int aOthers, int aToleratedLosses)
+void FleetSimulation::StartFleet(int aDisks, int aOthers, int aToleratedLosses)
 {
   mTolerated = aToleratedLosses;
   for (int i = 1; i <= std::min(3, aDisks); ++i) {
@@ -76,9 +76,9 @@
   }
 }
 
-void FleetSimulation::FoundSpread(int aDataCentres,
-                                  int aOthers,
-                                  int aToleratedLosses)
+void FleetSimulation::StartSpreadFleet(int aDataCentres,
+                                       int aOthers,
+                                       int aToleratedLosses)
 {
   mTolerated = aToleratedLosses;
   const auto control = [](int aIndex) {
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -80,11 +80,11 @@
 
   /// \brief Adds and starts `aDisks` hosts with a disk and `aOthers` without,
   /// the first three as seeds.
-  void Found(int aDisks, int aOthers, int aToleratedLosses);
+  void StartFleet(int aDisks, int aOthers, int aToleratedLosses);
 
   /// \brief Adds and starts a host with a disk in each of some data centres and
   /// `aOthers` without, spread over them; the first three as seeds.
-  void FoundSpread(int aDataCentres, int aOthers, int aToleratedLosses);
+  void StartSpreadFleet(int aDataCentres, int aOthers, int aToleratedLosses);
 
   void Kill(const std::string& aAddress) { mNodes.at(aAddress).mAlive = false; }
   /// \brief Tells a host to stop; it runs on until it is killed.
--- a/tests/fleet_cut_test.cpp
+++ b/tests/fleet_cut_test.cpp
@@ -74,7 +74,7 @@
   {
     mRandom.seed(aSeed);
     mSimulation = FleetSimulation(aSeed);
-    mSimulation.FoundSpread(aDataCentres, aOthers, (aDataCentres - 1) / 2);
+    mSimulation.StartSpreadFleet(aDataCentres, aOthers, (aDataCentres - 1) / 2);
     CPPUNIT_ASSERT(mSimulation.Until(10 * kSecond, [&] {
       return mSimulation.Voters() == static_cast<std::size_t>(aDataCentres);
     }));
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -18,7 +18,7 @@
 /// In this time a group is whole again after a voter fell silent for good.
 constexpr Micros kWholeTime = 4 * kSecond;
 
-std::string Founder(int aNumber)
+std::string FounderAddress(int aNumber)
 {
   return "10.0.0." + std::to_string(aNumber) + ":1";
 }
@@ -125,8 +125,10 @@
   void HostsReplacedInARowLeaveAWholeGroup()
   {
     for (const int count : { 2, 4 }) {
-      FleetSimulation simulation = Founded();
-      std::vector<std::string> control = { Founder(1), Founder(2), Founder(3) };
+      FleetSimulation simulation = StartedFleet();
+      std::vector<std::string> control = { FounderAddress(1),
+                                           FounderAddress(2),
+                                           FounderAddress(3) };
       for (int i = 0; i < count; ++i) {
         const std::string next = "10.0.1." + std::to_string(i + 1) + ":1";
         simulation.SetSeeds(control);
@@ -149,22 +151,23 @@
   void TwoOfSixReplacedThenTwoDisksLostKeepsTheChange()
   {
     FleetSimulation simulation(7);
-    simulation.Found(6, 3, 2);
+    simulation.StartFleet(6, 3, 2);
     CPPUNIT_ASSERT(
       simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 6; }));
     CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(1, 0, "one")));
-    simulation.SetSeeds({ Founder(3), Founder(4), Founder(5) });
+    simulation.SetSeeds(
+      { FounderAddress(3), FounderAddress(4), FounderAddress(5) });
     Join(simulation, "10.0.1.1:1");
     Join(simulation, "10.0.1.2:1");
-    Leave(simulation, Founder(1));
-    Leave(simulation, Founder(2));
+    Leave(simulation, FounderAddress(1));
+    Leave(simulation, FounderAddress(2));
     CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(2, 1, "two")));
-    for (const std::string& wiped : { Founder(3), Founder(6) }) {
+    for (const std::string& wiped : { FounderAddress(3), FounderAddress(6) }) {
       simulation.LosePower(wiped);
       simulation.Wipe(wiped);
     }
     simulation.Advance(kSecond);
-    for (const std::string& wiped : { Founder(3), Founder(6) }) {
+    for (const std::string& wiped : { FounderAddress(3), FounderAddress(6) }) {
       simulation.Start(wiped, false);
     }
     wire::CatalogCommand read;
@@ -186,19 +189,20 @@
   void NewcomerThatGoesAgainLeavesTheGroupAsItWas()
   {
     for (int lost = 1; lost <= 3; ++lost) {
-      FleetSimulation simulation = Founded();
-      simulation.LosePower(Founder(lost));
-      simulation.Wipe(Founder(lost));
+      FleetSimulation simulation = StartedFleet();
+      simulation.LosePower(FounderAddress(lost));
+      simulation.Wipe(FounderAddress(lost));
       CPPUNIT_ASSERT(simulation.Until(
         kBackTime, [&] { return !simulation.Leader().empty(); }));
       simulation.Add(kNewcomer, true);
       simulation.Start(kNewcomer, false);
       simulation.Advance(700 * kMillisecond);
       simulation.LosePower(kNewcomer);
-      simulation.Start(Founder(lost), false);
-      CPPUNIT_ASSERT_MESSAGE(Founder(lost), simulation.Until(kBackTime, [&] {
-        return simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
-      }));
+      simulation.Start(FounderAddress(lost), false);
+      CPPUNIT_ASSERT_MESSAGE(
+        FounderAddress(lost), simulation.Until(kBackTime, [&] {
+          return simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
+        }));
       CPPUNIT_ASSERT(
         simulation.Until(kWholeTime, [&] { return IsWhole(simulation); }));
     }
@@ -209,9 +213,9 @@
   {
     for (Micros after = 2400 * kMillisecond; after < 2800 * kMillisecond;
          after += 4 * kMillisecond) {
-      FleetSimulation simulation = Founded();
+      FleetSimulation simulation = StartedFleet();
       const std::string lost =
-        Founder(simulation.Leader() == Founder(1) ? 2 : 1);
+        FounderAddress(simulation.Leader() == FounderAddress(1) ? 2 : 1);
       simulation.LosePower(lost);
       simulation.Add(kNewcomer, true);
       simulation.Start(kNewcomer, false);
@@ -234,7 +238,7 @@
   {
     int led = 0;
     for (int ahead = 2; ahead <= 18; ahead += 2) {
-      const std::string without = Founder(2);
+      const std::string without = FounderAddress(2);
       FleetSimulation simulation =
         StartedWithoutAVote(without, ahead * kMillisecond);
       (void)simulation.Until(100 * kMillisecond,
@@ -253,12 +257,12 @@
   void VoterThatStopsLeavesBeforeItExits()
   {
     for (int leaves = 1; leaves <= 3; ++leaves) {
-      FleetSimulation simulation = Founded();
+      FleetSimulation simulation = StartedFleet();
       Join(simulation, kNewcomer);
-      simulation.Stop(Founder(leaves));
+      simulation.Stop(FounderAddress(leaves));
       CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
         return simulation.Voters() == 3 &&
-               !IsVoter(simulation, Founder(leaves));
+               !IsVoter(simulation, FounderAddress(leaves));
       }));
     }
   }
@@ -266,11 +270,12 @@
   void VoterSilentForGoodLeavesWhereOthersAreEnough()
   {
     for (int lost = 1; lost <= 3; ++lost) {
-      FleetSimulation simulation = Founded();
+      FleetSimulation simulation = StartedFleet();
       Join(simulation, kNewcomer);
-      simulation.Kill(Founder(lost));
+      simulation.Kill(FounderAddress(lost));
       CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
-        return simulation.Voters() == 3 && !IsVoter(simulation, Founder(lost));
+        return simulation.Voters() == 3 &&
+               !IsVoter(simulation, FounderAddress(lost));
       }));
     }
   }
@@ -279,8 +284,8 @@
   void GroupNeverShrinksBelowWhatLossesNeed()
   {
     for (const bool planned : { false, true }) {
-      FleetSimulation simulation = Founded();
-      const std::string lost = Founder(2);
+      FleetSimulation simulation = StartedFleet();
+      const std::string lost = FounderAddress(2);
       if (planned) {
         simulation.Stop(lost);
         simulation.Advance(kStopTime);
@@ -289,7 +294,7 @@
       simulation.Advance(60 * kSecond);
       CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
       // The one that comes in its place makes the group whole.
-      simulation.SetSeeds({ Founder(1), Founder(3) });
+      simulation.SetSeeds({ FounderAddress(1), FounderAddress(3) });
       Join(simulation, kNewcomer);
       CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
         return simulation.Voters() == 3 && !IsVoter(simulation, lost);
@@ -301,12 +306,13 @@
   void VoterThatIsNotMissedKeepsItsVoteForAWhile()
   {
     FleetSimulation simulation(7);
-    simulation.Found(5, 2, 1);
+    simulation.StartFleet(5, 2, 1);
     CPPUNIT_ASSERT(
       simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 5; }));
     simulation.Advance(kSecond);
-    const std::string lost =
-      simulation.Leader() == Founder(2) ? Founder(3) : Founder(2);
+    const std::string lost = simulation.Leader() == FounderAddress(2)
+                               ? FounderAddress(3)
+                               : FounderAddress(2);
     simulation.Kill(lost);
     simulation.Advance(6 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), simulation.Voters());
@@ -322,16 +328,16 @@
   {
     for (const int disks : { 3, 4, 6 }) {
       FleetSimulation simulation(7);
-      simulation.Found(disks, 3, disks == 6 ? 2 : 1);
+      simulation.StartFleet(disks, 3, disks == 6 ? 2 : 1);
       const auto voters = static_cast<std::size_t>(disks);
       CPPUNIT_ASSERT(simulation.Until(
         10 * kSecond, [&] { return simulation.Voters() == voters; }));
       for (int i = 1; i <= disks; ++i) {
-        simulation.Stop(Founder(i));
+        simulation.Stop(FounderAddress(i));
         simulation.Advance(kStopTime);
-        simulation.Kill(Founder(i));
+        simulation.Kill(FounderAddress(i));
         simulation.Advance(kSecond);
-        simulation.Start(Founder(i), false);
+        simulation.Start(FounderAddress(i), false);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(disks),
                                simulation.Until(kWholeTime, [&] {
                                  return simulation.Voters() == voters;
@@ -342,26 +348,28 @@
 
   void TwoHostsReplacedAtOnceLeaveAWholeGroup()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     Join(simulation, kNewcomer);
     Join(simulation, "10.0.1.2:1");
-    simulation.Stop(Founder(1));
-    simulation.Stop(Founder(2));
+    simulation.Stop(FounderAddress(1));
+    simulation.Stop(FounderAddress(2));
     CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
-      return simulation.Voters() == 3 && !IsVoter(simulation, Founder(1)) &&
-             !IsVoter(simulation, Founder(2));
+      return simulation.Voters() == 3 &&
+             !IsVoter(simulation, FounderAddress(1)) &&
+             !IsVoter(simulation, FounderAddress(2));
     }));
-    simulation.Kill(Founder(1));
-    simulation.Kill(Founder(2));
+    simulation.Kill(FounderAddress(1));
+    simulation.Kill(FounderAddress(2));
     CPPUNIT_ASSERT(
       simulation.Commit("10.0.0.6:1", PutPolicyCommand(2, 1, "two")));
   }
 
   void HostReplacedWhileTheLeaderIsCutOffLeavesAWholeGroup()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     const std::string cut = simulation.Leader();
-    const std::string leaves = cut == Founder(1) ? Founder(2) : Founder(1);
+    const std::string leaves =
+      cut == FounderAddress(1) ? FounderAddress(2) : FounderAddress(1);
     Join(simulation, kNewcomer);
     simulation.mCutOff = { cut };
     simulation.Stop(leaves);
@@ -376,7 +384,7 @@
 
   void LearnerThatNeverCatchesUpIsForgotten()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     simulation.mLose = [](const fakes::SentMessage& aSent) {
       return aSent.mTo == kNewcomer;
     };
@@ -396,16 +404,16 @@
     CPPUNIT_ASSERT(
       simulation.Until(40 * kSecond, [&] { return Members(simulation) == 3; }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-    simulation.Start(Founder(1), false);
+    simulation.Start(FounderAddress(1), false);
     CPPUNIT_ASSERT(simulation.Until(kBackTime, [&] {
-      return IsVoter(simulation, Founder(1)) &&
-             simulation.Node(Founder(1)).mState.mCatalog.mVersion == 2;
+      return IsVoter(simulation, FounderAddress(1)) &&
+             simulation.Node(FounderAddress(1)).mState.mCatalog.mVersion == 2;
     }));
   }
 
   void JoinThatNamesNoDiskOrAnothersIsRefused()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     const std::string leader = simulation.Leader();
     for (const char* storage : { "", "disk2" }) {
       wire::FleetMessage message;
@@ -426,9 +434,9 @@
 
   void StoppingHostDoesNotJoinAgain()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     Join(simulation, kNewcomer);
-    const std::string leaves = Founder(2);
+    const std::string leaves = FounderAddress(2);
     simulation.Stop(leaves);
     bool joins = false;
     simulation.mLose = [&](const fakes::SentMessage& aSent) {
@@ -442,7 +450,7 @@
 
   void HostsThatAreGoneAreForgotten()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     const std::string gone = "10.0.0.7:1";
     simulation.Kill(gone);
     simulation.Advance(10 * kSecond);
@@ -458,18 +466,20 @@
 
   void GroupThatToleratesLessIsLoggedAndCounted()
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     const std::string leader = simulation.Leader();
     const fleet::State& state = simulation.Node(leader).mState;
     CPPUNIT_ASSERT_EQUAL(1, HealthOf(state, simulation.mNow).mTolerated);
-    simulation.Kill(leader == Founder(3) ? Founder(2) : Founder(3));
+    simulation.Kill(leader == FounderAddress(3) ? FounderAddress(2)
+                                                : FounderAddress(3));
     simulation.Advance(3 * kSecond);
     const GroupHealth health = HealthOf(state, simulation.mNow);
     CPPUNIT_ASSERT_EQUAL(3, health.mVoters);
     CPPUNIT_ASSERT_EQUAL(2, health.mAnswering);
     CPPUNIT_ASSERT_EQUAL(0, health.mTolerated);
     CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_weak"));
-    simulation.Kill(leader == Founder(1) ? Founder(2) : Founder(1));
+    simulation.Kill(leader == FounderAddress(1) ? FounderAddress(2)
+                                                : FounderAddress(1));
     simulation.Advance(5 * kSecond);
     CPPUNIT_ASSERT_EQUAL(-1, HealthOf(state, simulation.mNow).mTolerated);
     CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_leaderless"));
@@ -477,13 +487,14 @@
 
   void DiskAtAStartIsLogged()
   {
-    FleetSimulation simulation = Founded();
-    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "event=group_opened"));
-    simulation.Kill(Founder(1));
-    simulation.Wipe(Founder(1));
-    simulation.Start(Founder(1), false);
-    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "/disk"));
-    CPPUNIT_ASSERT(HasNote(simulation, Founder(1), "voters=0"));
+    FleetSimulation simulation = StartedFleet();
+    CPPUNIT_ASSERT(
+      HasNote(simulation, FounderAddress(1), "event=group_opened"));
+    simulation.Kill(FounderAddress(1));
+    simulation.Wipe(FounderAddress(1));
+    simulation.Start(FounderAddress(1), false);
+    CPPUNIT_ASSERT(HasNote(simulation, FounderAddress(1), "/disk"));
+    CPPUNIT_ASSERT(HasNote(simulation, FounderAddress(1), "voters=0"));
   }
 
 private:
@@ -500,7 +511,7 @@
   static FleetSimulation StartedWithoutAVote(const std::string& aWithout,
                                              Micros aAhead)
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     Join(simulation, kNewcomer);
     simulation.Stop(aWithout);
     CPPUNIT_ASSERT(simulation.Until(
@@ -521,10 +532,10 @@
   }
 
   // Three control hosts and four others; the first version is in force.
-  static FleetSimulation Founded()
+  static FleetSimulation StartedFleet()
   {
     FleetSimulation simulation(7);
-    simulation.Found(3, 4, 1);
+    simulation.StartFleet(3, 4, 1);
     CPPUNIT_ASSERT(
       simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 3; }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(1, 0, "one")));
@@ -550,9 +561,9 @@
 
   static FleetSimulation Replaced(int aLeaves)
   {
-    FleetSimulation simulation = Founded();
+    FleetSimulation simulation = StartedFleet();
     Join(simulation, kNewcomer);
-    Leave(simulation, Founder(aLeaves));
+    Leave(simulation, FounderAddress(aLeaves));
     return simulation;
   }
 
@@ -561,7 +572,7 @@
     std::vector<std::string> others = { kNewcomer };
     for (int i = 1; i <= 3; ++i) {
       if (i != aLeaves) {
-        others.push_back(Founder(i));
+        others.push_back(FounderAddress(i));
       }
     }
     return others;
@@ -571,7 +582,7 @@
                                        int aLeaves)
   {
     std::vector<std::string> left = aSimulation.Addresses();
-    left.erase(std::find(left.begin(), left.end(), Founder(aLeaves)));
+    left.erase(std::find(left.begin(), left.end(), FounderAddress(aLeaves)));
     return left;
   }
 
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -86,7 +86,7 @@
   void PolicyIsReadBackByAHostWhoseOwnIsOld()
   {
     mSimulation = FleetSimulation(3);
-    mSimulation.FoundSpread(kDataCentres, 24, 2);
+    mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
@@ -103,7 +103,7 @@
   void PolicyIsReadWhileDisksAnswerNothing()
   {
     mSimulation = FleetSimulation(4);
-    mSimulation.FoundSpread(kDataCentres, 24, 2);
+    mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(2, 0, "two"));
@@ -161,7 +161,7 @@
     mSimulation = FleetSimulation(aCase.mSeed);
     mRandom.seed(aCase.mSeed);
     mSimulation.mProcessingCost = kSmallHostCost;
-    mSimulation.FoundSpread(kDataCentres, kOthers, 2);
+    mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -200,7 +200,7 @@
   void Begin()
   {
     mSimulation.mProcessingCost = kSmallHostCost;
-    mSimulation.FoundSpread(kDataCentres, kOthers, 2);
+    mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
     CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -54,7 +54,7 @@
   {
     for (const int disks : { 1, 3, 4, 5, 8 }) {
       FleetSimulation simulation(static_cast<std::uint64_t>(disks));
-      simulation.Found(disks, 3, 0);
+      simulation.StartFleet(disks, 3, 0);
       CPPUNIT_ASSERT(simulation.Until(4 * kSecond, [&] {
         return simulation.Voters() == static_cast<std::size_t>(disks);
       }));
@@ -64,7 +64,7 @@
   void FirstPolicyWithTooFewDisksWaits()
   {
     FleetSimulation simulation;
-    simulation.Found(4, 0, 1);
+    simulation.StartFleet(4, 0, 1);
     simulation.Kill("10.0.0.4:1");
     simulation.Kill("10.0.0.3:1");
     // Two of three founders would be a quorum of two: enough for one loss.
@@ -72,7 +72,7 @@
       return simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
     FleetSimulation careful;
-    careful.Found(4, 0, 2);
+    careful.StartFleet(4, 0, 2);
     careful.Kill("10.0.0.4:1");
     CPPUNIT_ASSERT(
       careful.Until(4 * kSecond, [&] { return !careful.Leader().empty(); }));
@@ -218,7 +218,7 @@
   {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       FleetSimulation simulation(seed);
-      simulation.Found(4, 2, 1);
+      simulation.StartFleet(4, 2, 1);
       WaitForVoters(simulation, 4);
       CPPUNIT_ASSERT(
         simulation.Commit("10.0.0.5:1", PutPolicyCommand(1, 0, "a")));
@@ -364,7 +364,7 @@
   void AnswerToAnEarlierLifesCommandAcknowledgesNothing()
   {
     FleetSimulation simulation(7);
-    simulation.Found(3, 2, 1);
+    simulation.StartFleet(3, 2, 1);
     simulation.Advance(2 * kSecond);
     const std::string host = "10.0.0.5:1";
     const std::uint64_t before =
@@ -404,7 +404,7 @@
     Micros worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       FleetSimulation simulation(seed);
-      simulation.Found(3, 6, 1);
+      simulation.StartFleet(3, 6, 1);
       WaitForVoters(simulation, 3);
       CPPUNIT_ASSERT(
         simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
@@ -542,7 +542,7 @@
     mSimulation.mLose = [&](const fakes::SentMessage&) {
       return random() % 20 == 0;
     };
-    mSimulation.Found(4, 12, 1);
+    mSimulation.StartFleet(4, 12, 1);
     CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
       const std::vector<std::string> all = mSimulation.Addresses();
       return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
@@ -720,7 +720,7 @@
     };
     const int disks = 3 + below(3);
     const int hosts = disks + 3 + below(8);
-    simulation.Found(disks, hosts - disks, 1);
+    simulation.StartFleet(disks, hosts - disks, 1);
     WaitForVoters(simulation, static_cast<std::size_t>(disks));
     if (!simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
       return "no first policy";
@@ -805,7 +805,7 @@
   // A fleet whose disks all vote, with version 1 in force.
   void Begin(int aDisks, int aOthers, int aTolerated)
   {
-    mSimulation.Found(aDisks, aOthers, aTolerated);
+    mSimulation.StartFleet(aDisks, aOthers, aTolerated);
     WaitForVoters(mSimulation, static_cast<std::size_t>(aDisks));
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -123,7 +123,7 @@
   void Begin(int aDataCentres, int aOthers)
   {
     mWorld = FleetSimulation(mRandom());
-    mWorld.FoundSpread(aDataCentres, aOthers, (aDataCentres - 1) / 2);
+    mWorld.StartSpreadFleet(aDataCentres, aOthers, (aDataCentres - 1) / 2);
     CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] {
       return mWorld.Voters() == static_cast<std::size_t>(aDataCentres);
     }));
--- a/tests/fleet_work_test.cpp
+++ b/tests/fleet_work_test.cpp
@@ -19,7 +19,7 @@
 double WorkOfAReport(int aOthers)
 {
   fakes::FleetSimulation world(7);
-  world.FoundSpread(6, aOthers, 2);
+  world.StartSpreadFleet(6, aOthers, 2);
   world.Advance(8 * kSecond);
   State& control = world.Node("10.0.0.1:1").mState;
   const std::string from = control.mFollowers.begin()->first;
