--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -68,8 +68,8 @@
   fakes::FleetSimulation simulation(aSeed);
   simulation.StartFleet(disks, 4, aTolerated);
   const auto voters = static_cast<std::size_t>(disks);
-  (void)simulation.Until(10 * kSecond,
-                         [&] { return simulation.Voters() == voters; });
+  (void)simulation.RunUntil(10 * kSecond,
+                            [&] { return simulation.Voters() == voters; });
   simulation.Advance(2 * kSecond);
   const int number = 1 + static_cast<int>(aSeed % voters);
   const std::string leaves = "10.0.0." + std::to_string(number) + ":1";
@@ -79,7 +79,7 @@
     simulation.LosePower(leaves);
   }
   const Micros start = simulation.mNow;
-  (void)simulation.Until(60 * kSecond, [&] {
+  (void)simulation.RunUntil(60 * kSecond, [&] {
     const std::string leader = simulation.Leader();
     const auto whole = [&](const fleet::State& aState) {
       const consensus::State& group = aState.mGroup;
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -30,8 +30,8 @@
     mSimulation.StartSpreadFleet(
       mCase.mDataCentres, mCase.mOthers, (mCase.mDataCentres - 1) / 2);
     const auto voters = static_cast<std::size_t>(mCase.mDataCentres);
-    if (!mSimulation.Until(kSettled,
-                           [&] { return mSimulation.Voters() == voters; })) {
+    if (!mSimulation.RunUntil(kSettled,
+                              [&] { return mSimulation.Voters() == voters; })) {
       throw std::runtime_error("no group was founded");
     }
     Change();
@@ -64,7 +64,7 @@
   }
 
 private:
-  // Until it is acknowledged; when that was.
+  // RunUntil it is acknowledged; when that was.
   Micros Change()
   {
     const std::string leader = mSimulation.Leader();
@@ -127,7 +127,7 @@
   void WaitForChange(const std::set<std::string>& aTroubled)
   {
     const std::vector<std::string> all = mSimulation.Addresses();
-    (void)mSimulation.Until(kMostWait, [&] {
+    (void)mSimulation.RunUntil(kMostWait, [&] {
       return std::all_of(all.begin(), all.end(), [&](const std::string& aHost) {
         return aTroubled.count(aHost) != 0 ||
                mSimulation.Node(aHost).mState.mCatalog.mVersion >= mVersion;
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -34,7 +34,7 @@
 /// \brief What was measured over some changes.
 struct ChangeTimes
 {
-  /// Until all hosts to which nothing was done have the change.
+  /// RunUntil all hosts to which nothing was done have the change.
   Micros mSlowest = 0;
   /// Questions for the group's word, over all hosts and changes.
   std::uint64_t mQuestions = 0;
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -63,8 +63,8 @@
     mSimulation.StartFleet(
       mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
-    if (!mSimulation.Until(10 * kSecond,
-                           [&] { return mSimulation.Voters() == disks; })) {
+    if (!mSimulation.RunUntil(10 * kSecond,
+                              [&] { return mSimulation.Voters() == disks; })) {
       return "no group was founded";
     }
     // The last founder counts once its vote is committed everywhere.
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -271,8 +271,8 @@
   }
 }
 
-bool FleetSimulation::Until(Micros aMost,
-                            const std::function<bool()>& aCondition)
+bool FleetSimulation::RunUntil(Micros aMost,
+                               const std::function<bool()>& aCondition)
 {
   const Micros end = mNow + aMost;
   while (!aCondition()) {
@@ -299,7 +299,7 @@
 {
   const std::uint64_t id = Submit(aAddress, aCommand);
   FleetNode& node = mNodes.at(aAddress);
-  (void)Until(2 * kSecond, [&] { return node.mDone.count(id) != 0; });
+  (void)RunUntil(2 * kSecond, [&] { return node.mDone.count(id) != 0; });
   const auto found = node.mDone.find(id);
   return found != node.mDone.end() &&
          found->second.mEnd == fleet::SubmitEnd::Committed &&
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -96,7 +96,7 @@
 
   void Advance(Micros aTime);
   /// \brief Advances until the condition holds; false when it does not in time.
-  bool Until(Micros aMost, const std::function<bool()>& aCondition);
+  bool RunUntil(Micros aMost, const std::function<bool()>& aCondition);
 
   [[nodiscard]] std::uint64_t Submit(const std::string& aAddress,
                                      const wire::CatalogCommand& aCommand);
--- a/tests/fleet_cut_test.cpp
+++ b/tests/fleet_cut_test.cpp
@@ -75,7 +75,7 @@
     mRandom.seed(aSeed);
     mSimulation = FleetSimulation(aSeed);
     mSimulation.StartSpreadFleet(aDataCentres, aOthers, (aDataCentres - 1) / 2);
-    CPPUNIT_ASSERT(mSimulation.Until(10 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(10 * kSecond, [&] {
       return mSimulation.Voters() == static_cast<std::size_t>(aDataCentres);
     }));
     CPPUNIT_ASSERT(
@@ -114,7 +114,7 @@
     }
     const auto& done = mSimulation.Node(leader).mDone;
     CPPUNIT_ASSERT(
-      mSimulation.Until(kSecond, [&] { return done.count(id) != 0; }));
+      mSimulation.RunUntil(kSecond, [&] { return done.count(id) != 0; }));
     CPPUNIT_ASSERT(done.at(id).mOutcome.accepted());
     mAcknowledgedAt = mSimulation.mNow;
   }
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -152,8 +152,8 @@
   {
     FleetSimulation simulation(7);
     simulation.StartFleet(6, 3, 2);
-    CPPUNIT_ASSERT(
-      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 6; }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      10 * kSecond, [&] { return simulation.Voters() == 6; }));
     CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(1, 0, "one")));
     simulation.SetSeeds(
       { FounderAddress(3), FounderAddress(4), FounderAddress(5) });
@@ -172,7 +172,7 @@
     }
     wire::CatalogCommand read;
     read.mutable_read_barrier();
-    CPPUNIT_ASSERT(simulation.Until(
+    CPPUNIT_ASSERT(simulation.RunUntil(
       kBackTime, [&] { return simulation.Commit(kReader, read); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2),
                          simulation.Node(kReader).mState.mCatalog.mVersion);
@@ -192,7 +192,7 @@
       FleetSimulation simulation = StartedFleet();
       simulation.LosePower(FounderAddress(lost));
       simulation.Wipe(FounderAddress(lost));
-      CPPUNIT_ASSERT(simulation.Until(
+      CPPUNIT_ASSERT(simulation.RunUntil(
         kBackTime, [&] { return !simulation.Leader().empty(); }));
       simulation.Add(kNewcomer, true);
       simulation.Start(kNewcomer, false);
@@ -200,11 +200,11 @@
       simulation.LosePower(kNewcomer);
       simulation.Start(FounderAddress(lost), false);
       CPPUNIT_ASSERT_MESSAGE(
-        FounderAddress(lost), simulation.Until(kBackTime, [&] {
+        FounderAddress(lost), simulation.RunUntil(kBackTime, [&] {
           return simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
         }));
       CPPUNIT_ASSERT(
-        simulation.Until(kWholeTime, [&] { return IsWhole(simulation); }));
+        simulation.RunUntil(kWholeTime, [&] { return IsWhole(simulation); }));
     }
   }
 
@@ -222,7 +222,7 @@
       simulation.Advance(after);
       simulation.LosePower(kNewcomer);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(after / kMillisecond) + " ms",
-                             simulation.Until(kBackTime, [&] {
+                             simulation.RunUntil(kBackTime, [&] {
                                return simulation.Commit(
                                  kFollower, PutPolicyCommand(2, 1, "two"));
                              }));
@@ -241,13 +241,13 @@
       const std::string without = FounderAddress(2);
       FleetSimulation simulation =
         StartedWithoutAVote(without, ahead * kMillisecond);
-      (void)simulation.Until(100 * kMillisecond,
-                             [&] { return !simulation.Leader().empty(); });
+      (void)simulation.RunUntil(100 * kMillisecond,
+                                [&] { return !simulation.Leader().empty(); });
       if (simulation.Leader() != without) {
         continue;
       }
       ++led;
-      CPPUNIT_ASSERT(simulation.Until(200 * kMillisecond, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(200 * kMillisecond, [&] {
         return !simulation.Leader().empty() && simulation.Leader() != without;
       }));
     }
@@ -260,7 +260,7 @@
       FleetSimulation simulation = StartedFleet();
       Join(simulation, kNewcomer);
       simulation.Stop(FounderAddress(leaves));
-      CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(kStopTime, [&] {
         return simulation.Voters() == 3 &&
                !IsVoter(simulation, FounderAddress(leaves));
       }));
@@ -273,7 +273,7 @@
       FleetSimulation simulation = StartedFleet();
       Join(simulation, kNewcomer);
       simulation.Kill(FounderAddress(lost));
-      CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
         return simulation.Voters() == 3 &&
                !IsVoter(simulation, FounderAddress(lost));
       }));
@@ -296,7 +296,7 @@
       // The one that comes in its place makes the group whole.
       simulation.SetSeeds({ FounderAddress(1), FounderAddress(3) });
       Join(simulation, kNewcomer);
-      CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
         return simulation.Voters() == 3 && !IsVoter(simulation, lost);
       }));
     }
@@ -307,8 +307,8 @@
   {
     FleetSimulation simulation(7);
     simulation.StartFleet(5, 2, 1);
-    CPPUNIT_ASSERT(
-      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 5; }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      10 * kSecond, [&] { return simulation.Voters() == 5; }));
     simulation.Advance(kSecond);
     const std::string lost = simulation.Leader() == FounderAddress(2)
                                ? FounderAddress(3)
@@ -316,12 +316,12 @@
     simulation.Kill(lost);
     simulation.Advance(6 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), simulation.Voters());
-    CPPUNIT_ASSERT(simulation.Until(kWholeTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
       return simulation.Voters() == 4 && !IsVoter(simulation, lost);
     }));
     simulation.Start(lost, false);
-    CPPUNIT_ASSERT(
-      simulation.Until(kWholeTime, [&] { return IsVoter(simulation, lost); }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      kWholeTime, [&] { return IsVoter(simulation, lost); }));
   }
 
   void RestartedVotersAreVotersAgain()
@@ -330,7 +330,7 @@
       FleetSimulation simulation(7);
       simulation.StartFleet(disks, 3, disks == 6 ? 2 : 1);
       const auto voters = static_cast<std::size_t>(disks);
-      CPPUNIT_ASSERT(simulation.Until(
+      CPPUNIT_ASSERT(simulation.RunUntil(
         10 * kSecond, [&] { return simulation.Voters() == voters; }));
       for (int i = 1; i <= disks; ++i) {
         simulation.Stop(FounderAddress(i));
@@ -339,7 +339,7 @@
         simulation.Advance(kSecond);
         simulation.Start(FounderAddress(i), false);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(disks),
-                               simulation.Until(kWholeTime, [&] {
+                               simulation.RunUntil(kWholeTime, [&] {
                                  return simulation.Voters() == voters;
                                }));
       }
@@ -353,7 +353,7 @@
     Join(simulation, "10.0.1.2:1");
     simulation.Stop(FounderAddress(1));
     simulation.Stop(FounderAddress(2));
-    CPPUNIT_ASSERT(simulation.Until(kStopTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kStopTime, [&] {
       return simulation.Voters() == 3 &&
              !IsVoter(simulation, FounderAddress(1)) &&
              !IsVoter(simulation, FounderAddress(2));
@@ -376,7 +376,7 @@
     simulation.Advance(kStopTime);
     simulation.Kill(leaves);
     simulation.mCutOff.clear();
-    CPPUNIT_ASSERT(simulation.Until(kBackTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kBackTime, [&] {
       return simulation.Voters() == 3 && !IsVoter(simulation, leaves);
     }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
@@ -394,18 +394,18 @@
     CPPUNIT_ASSERT_EQUAL(4, Members(simulation));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
     simulation.Kill(kNewcomer);
-    CPPUNIT_ASSERT(
-      simulation.Until(40 * kSecond, [&] { return Members(simulation) == 3; }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      40 * kSecond, [&] { return Members(simulation) == 3; }));
   }
 
   void HostBackWithItsDiskAfterItWasForgottenJoinsAgain()
   {
     FleetSimulation simulation = Replaced(1);
-    CPPUNIT_ASSERT(
-      simulation.Until(40 * kSecond, [&] { return Members(simulation) == 3; }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      40 * kSecond, [&] { return Members(simulation) == 3; }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
     simulation.Start(FounderAddress(1), false);
-    CPPUNIT_ASSERT(simulation.Until(kBackTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kBackTime, [&] {
       return IsVoter(simulation, FounderAddress(1)) &&
              simulation.Node(FounderAddress(1)).mState.mCatalog.mVersion == 2;
     }));
@@ -514,7 +514,7 @@
     FleetSimulation simulation = StartedFleet();
     Join(simulation, kNewcomer);
     simulation.Stop(aWithout);
-    CPPUNIT_ASSERT(simulation.Until(
+    CPPUNIT_ASSERT(simulation.RunUntil(
       kStopTime, [&] { return !IsVoter(simulation, aWithout); }));
     simulation.Advance(kSecond);
     for (const std::string& address : simulation.Addresses()) {
@@ -536,8 +536,8 @@
   {
     FleetSimulation simulation(7);
     simulation.StartFleet(3, 4, 1);
-    CPPUNIT_ASSERT(
-      simulation.Until(10 * kSecond, [&] { return simulation.Voters() == 3; }));
+    CPPUNIT_ASSERT(simulation.RunUntil(
+      10 * kSecond, [&] { return simulation.Voters() == 3; }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(1, 0, "one")));
     simulation.Advance(kSecond);
     return simulation;
@@ -547,7 +547,7 @@
   {
     aSimulation.Add(aAddress, true);
     aSimulation.Start(aAddress, false);
-    CPPUNIT_ASSERT(aSimulation.Until(
+    CPPUNIT_ASSERT(aSimulation.RunUntil(
       10 * kSecond, [&] { return IsVoter(aSimulation, aAddress); }));
   }
 
@@ -609,7 +609,7 @@
                            const std::string& aCase)
   {
     const std::vector<std::string> left = Left(aSimulation, aLeaves);
-    const bool all = aSimulation.Until(kBackTime, [&] {
+    const bool all = aSimulation.RunUntil(kBackTime, [&] {
       return std::all_of(left.begin(), left.end(), [&](const auto& aHost) {
         const State& state = aSimulation.Node(aHost).mState;
         return state.mCatalog.mVersion >= aVersion &&
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -87,7 +87,7 @@
   {
     mSimulation = FleetSimulation(3);
     mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
-    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
@@ -104,7 +104,7 @@
   {
     mSimulation = FleetSimulation(4);
     mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
-    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(2, 0, "two"));
     }));
@@ -162,7 +162,7 @@
     mRandom.seed(aCase.mSeed);
     mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
-    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -75,7 +75,7 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(
+    CPPUNIT_ASSERT(mSimulation.RunUntil(
       3 * kSecond, [&] { return !mSimulation.Leader().empty(); }));
     mSimulation.Advance(500 * kMillisecond);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(HostsAt(1)),
@@ -107,14 +107,14 @@
         mSimulation.Start(address, false);
       }
       const std::string label = std::to_string(percent) + " %";
-      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Until(kContact, [&] {
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContact, [&] {
         return !mSimulation.Leader().empty();
       }));
       const std::uint64_t term = Term();
       wire::CatalogCommand read;
       read.mutable_read_barrier();
       CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Commit("10.1.2.2:1", read));
-      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Until(kContact, [&] {
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContact, [&] {
         return HostsAt(2) == kDataCentres + kOthers;
       }));
       mSimulation.Advance(3 * kSecond);
@@ -201,7 +201,7 @@
   {
     mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
-    CPPUNIT_ASSERT(mSimulation.Until(6 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(6 * kSecond, [&] {
       return mSimulation.Voters() == kDataCentres &&
              mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -55,7 +55,7 @@
     for (const int disks : { 1, 3, 4, 5, 8 }) {
       FleetSimulation simulation(static_cast<std::uint64_t>(disks));
       simulation.StartFleet(disks, 3, 0);
-      CPPUNIT_ASSERT(simulation.Until(4 * kSecond, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(4 * kSecond, [&] {
         return simulation.Voters() == static_cast<std::size_t>(disks);
       }));
     }
@@ -68,18 +68,18 @@
     simulation.Kill("10.0.0.4:1");
     simulation.Kill("10.0.0.3:1");
     // Two of three founders would be a quorum of two: enough for one loss.
-    CPPUNIT_ASSERT(simulation.Until(4 * kSecond, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(4 * kSecond, [&] {
       return simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
     FleetSimulation careful;
     careful.StartFleet(4, 0, 2);
     careful.Kill("10.0.0.4:1");
     CPPUNIT_ASSERT(
-      careful.Until(4 * kSecond, [&] { return !careful.Leader().empty(); }));
+      careful.RunUntil(4 * kSecond, [&] { return !careful.Leader().empty(); }));
     CPPUNIT_ASSERT(
       !careful.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first")));
     careful.Start("10.0.0.4:1", true);
-    CPPUNIT_ASSERT(careful.Until(4 * kSecond, [&] {
+    CPPUNIT_ASSERT(careful.RunUntil(4 * kSecond, [&] {
       return careful.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
   }
@@ -169,7 +169,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), VersionAt("10.0.0.4:1"));
     mSimulation.mCutOff.clear();
-    CPPUNIT_ASSERT(mSimulation.Until(
+    CPPUNIT_ASSERT(mSimulation.RunUntil(
       3 * kSecond, [&] { return VersionAt("10.0.0.4:1") == 11; }));
   }
 
@@ -195,10 +195,10 @@
       return lose;
     };
     mSimulation.mCutOff.clear();
-    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] { return lost; }));
+    CPPUNIT_ASSERT(mSimulation.RunUntil(4 * kSecond, [&] { return lost; }));
     CPPUNIT_ASSERT(
-      mSimulation.Until(kSecond, [&] { return VersionAt(follower) == 2; }));
-    CPPUNIT_ASSERT(mSimulation.Until(2 * kSecond, [&] {
+      mSimulation.RunUntil(kSecond, [&] { return VersionAt(follower) == 2; }));
+    CPPUNIT_ASSERT(mSimulation.RunUntil(2 * kSecond, [&] {
       return mSimulation.Node(follower).mState.mCatalog.mTargets.size() == 400;
     }));
   }
@@ -209,7 +209,7 @@
     const std::string lost = mSimulation.Leader();
     mSimulation.Kill(lost);
     const std::string other = "10.0.0.6:1";
-    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(4 * kSecond, [&] {
       return mSimulation.Commit(other, PutPolicyCommand(2, 1, "after"));
     }));
   }
@@ -233,7 +233,7 @@
       for (const std::string& address : simulation.Addresses()) {
         simulation.Start(address, false);
       }
-      CPPUNIT_ASSERT(simulation.Until(8 * kSecond, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(8 * kSecond, [&] {
         const std::vector<std::string> all = simulation.Addresses();
         return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
           return simulation.Node(aAddress).mState.mCatalog.mVersion == 1;
@@ -247,7 +247,7 @@
   {
     Begin(4, 1, 1);
     // 10.0.0.4 is no seed; it leads once the others have handed over.
-    CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(20 * kSecond, [&] {
       const std::string leader = mSimulation.Leader();
       if (!leader.empty() && leader != "10.0.0.4:1") {
         mSimulation.Kill(leader);
@@ -260,7 +260,7 @@
     mSimulation.Kill("10.0.0.1:1");
     mSimulation.Wipe("10.0.0.1:1");
     mSimulation.Start("10.0.0.1:1", false);
-    CPPUNIT_ASSERT(mSimulation.Until(8 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(8 * kSecond, [&] {
       return VersionAt("10.0.0.1:1") == 1 && IsVoter("10.0.0.1:1");
     }));
   }
@@ -277,7 +277,7 @@
       mSimulation.SetSeeds({ "10.0.0.4:1" });
       mSimulation.Add(next, true);
       mSimulation.Start(next, false);
-      CPPUNIT_ASSERT(mSimulation.Until(10 * kSecond, [&] {
+      CPPUNIT_ASSERT(mSimulation.RunUntil(10 * kSecond, [&] {
         return mSimulation.Voters() == 4 && IsVoter(next) && !IsVoter(lost);
       }));
       const auto version = static_cast<std::uint64_t>(round) + 2;
@@ -294,11 +294,11 @@
     mSimulation.Advance(4 * kSecond);
     mSimulation.Add("10.0.1.1:1", true);
     mSimulation.Start("10.0.1.1:1", false);
-    CPPUNIT_ASSERT(mSimulation.Until(
+    CPPUNIT_ASSERT(mSimulation.RunUntil(
       8 * kSecond, [&] { return IsVoter("10.0.1.1:1") && !IsVoter(cut); }));
     mSimulation.mCutOff.clear();
     CPPUNIT_ASSERT(
-      mSimulation.Until(10 * kSecond, [&] { return IsVoter(cut); }));
+      mSimulation.RunUntil(10 * kSecond, [&] { return IsVoter(cut); }));
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), mSimulation.Voters());
   }
 
@@ -353,7 +353,7 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(4 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(4 * kSecond, [&] {
       return mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two"));
     }));
     CPPUNIT_ASSERT(
@@ -393,7 +393,7 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(
+    CPPUNIT_ASSERT(mSimulation.RunUntil(
       4 * kSecond, [&] { return VersionAt("10.0.0.7:1") == 2; }));
   }
 
@@ -417,7 +417,7 @@
         simulation.Advance(host == 1 ? 70 * kMillisecond : 0);
       }
       const Micros quorumAt = simulation.mNow;
-      CPPUNIT_ASSERT(simulation.Until(2 * kSecond, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(2 * kSecond, [&] {
         for (int host = 4; host <= 9; ++host) {
           const State& state =
             simulation.Node("10.0.0." + std::to_string(host) + ":1").mState;
@@ -480,7 +480,7 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(3 * kSecond, [&] {
       const std::string leader = mSimulation.Leader();
       return !leader.empty() &&
              IsInTouch(mSimulation.Node(leader).mState, mSimulation.mNow);
@@ -524,7 +524,7 @@
       return control &&
              minority.count(aSent.mFrom) != minority.count(aSent.mTo);
     };
-    CPPUNIT_ASSERT(mSimulation.Until(5 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(5 * kSecond, [&] {
       return mSimulation.Commit("10.0.0.9:1", PutPolicyCommand(2, 1, "two"));
     }));
     mSimulation.Advance(2 * kSecond);
@@ -543,7 +543,7 @@
       return random() % 20 == 0;
     };
     mSimulation.StartFleet(4, 12, 1);
-    CPPUNIT_ASSERT(mSimulation.Until(20 * kSecond, [&] {
+    CPPUNIT_ASSERT(mSimulation.RunUntil(20 * kSecond, [&] {
       const std::vector<std::string> all = mSimulation.Addresses();
       return std::all_of(all.begin(), all.end(), [&](const auto& aAddress) {
         return LiveHosts(mSimulation.Node(aAddress).mState, mSimulation.mNow) ==
@@ -595,7 +595,7 @@
     for (const char* address :
          { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1" }) {
       mSimulation.mCutOff = { address };
-      CPPUNIT_ASSERT(mSimulation.Until(5 * kSecond, [&] {
+      CPPUNIT_ASSERT(mSimulation.RunUntil(5 * kSecond, [&] {
         return mSimulation.Commit("10.0.0.5:1",
                                   PutPolicyCommand(version + 1, version, "x"));
       }));
@@ -619,9 +619,10 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] { return AllServe(1); }));
     CPPUNIT_ASSERT(
-      mSimulation.Until(6 * kSecond, [&] { return IsVoter("10.0.0.2:1"); }));
+      mSimulation.RunUntil(3 * kSecond, [&] { return AllServe(1); }));
+    CPPUNIT_ASSERT(
+      mSimulation.RunUntil(6 * kSecond, [&] { return IsVoter("10.0.0.2:1"); }));
   }
 
   void HostRestartedAloneWithFollowersAsSeedsIsReferred()
@@ -631,7 +632,7 @@
     mSimulation.Kill("10.0.0.9:1");
     mSimulation.Advance(200 * kMillisecond);
     mSimulation.Start("10.0.0.9:1", false);
-    CPPUNIT_ASSERT(mSimulation.Until(kSecond, [&] { return AllServe(1); }));
+    CPPUNIT_ASSERT(mSimulation.RunUntil(kSecond, [&] { return AllServe(1); }));
   }
 
   // The voters run on with the seeds that they were started with.
@@ -646,7 +647,8 @@
     for (int host = 4; host <= 9; ++host) {
       mSimulation.Start("10.0.0." + std::to_string(host) + ":1", false);
     }
-    CPPUNIT_ASSERT(mSimulation.Until(3 * kSecond, [&] { return AllServe(1); }));
+    CPPUNIT_ASSERT(
+      mSimulation.RunUntil(3 * kSecond, [&] { return AllServe(1); }));
   }
 
   void OldWordOfTheGroupNeverReplacesANewerOne()
@@ -783,7 +785,8 @@
                  IsInTouch(state, simulation.mNow);
         });
     };
-    return simulation.Until(8 * kSecond, serves) ? "" : "a host does not serve";
+    return simulation.RunUntil(8 * kSecond, serves) ? ""
+                                                    : "a host does not serve";
   }
 
   bool AllServe(std::uint64_t aVersion)
@@ -798,7 +801,7 @@
 
   static void WaitForVoters(FleetSimulation& aSimulation, std::size_t aCount)
   {
-    CPPUNIT_ASSERT(aSimulation.Until(
+    CPPUNIT_ASSERT(aSimulation.RunUntil(
       10 * kSecond, [&] { return aSimulation.Voters() == aCount; }));
   }
 
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -124,7 +124,7 @@
   {
     mWorld = FleetSimulation(mRandom());
     mWorld.StartSpreadFleet(aDataCentres, aOthers, (aDataCentres - 1) / 2);
-    CPPUNIT_ASSERT(mWorld.Until(10 * kSecond, [&] {
+    CPPUNIT_ASSERT(mWorld.RunUntil(10 * kSecond, [&] {
       return mWorld.Voters() == static_cast<std::size_t>(aDataCentres);
     }));
     CPPUNIT_ASSERT(
