--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -43,7 +43,7 @@
   /// A disk answers nothing for a while.
   StallDisk,
   /// The settings name other seeds from the next start on.
-  Reseed,
+  ReplaceSeeds,
   /// Faults end, and what is promised is checked.
   Settle,
 };
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -253,8 +253,8 @@
       case FleetFault::StallDisk:
         StallDisk(PickControl(aStep.mPick), aStep.mFor);
         break;
-      case FleetFault::Reseed:
-        Reseed(aStep.mPick);
+      case FleetFault::ReplaceSeeds:
+        ReplaceSeeds(aStep.mPick);
         break;
       case FleetFault::Settle:
         Settle();
@@ -289,7 +289,7 @@
     mSimulation.Kill(aHost);
     mRemoved.insert(aHost);
     mBusy.erase(aHost);
-    After(kSeedLag, [this] { Reseed(0); });
+    After(kSeedLag, [this] { ReplaceSeeds(0); });
   }
 
   bool IsVoter(const std::string& aHost)
@@ -329,7 +329,7 @@
       AddControl();
       mCalm.Replace();
     });
-    After(kSeedLag, [this] { Reseed(0); });
+    After(kSeedLag, [this] { ReplaceSeeds(0); });
   }
 
   void Down(const std::string& aHost, Micros aFor, bool aPower, bool aDisk)
@@ -434,7 +434,10 @@
     return seeds;
   }
 
-  void Reseed(std::uint64_t aPick) { mSimulation.Reseed(ListedControl(aPick)); }
+  void ReplaceSeeds(std::uint64_t aPick)
+  {
+    mSimulation.ReplaceSeeds(ListedControl(aPick));
+  }
 
   // --- changes of the policy all along
 
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -32,7 +32,7 @@
   node.mSettings.mToleratedLosses = mTolerated;
 }
 
-void FleetSimulation::Reseed(const std::vector<std::string>& aSeeds)
+void FleetSimulation::ReplaceSeeds(const std::vector<std::string>& aSeeds)
 {
   SetSeeds(aSeeds);
   for (auto& [address, node] : mNodes) {
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -73,7 +73,7 @@
   void SetSeeds(std::vector<std::string> aSeeds) { mSeeds = std::move(aSeeds); }
 
   /// \brief Gives all hosts other seeds, which count from their next start on.
-  void Reseed(const std::vector<std::string>& aSeeds);
+  void ReplaceSeeds(const std::vector<std::string>& aSeeds);
 
   /// \brief Starts a host; a founder has its founding disk made.
   void Start(const std::string& aAddress, bool aFounding);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -614,7 +614,7 @@
       mSimulation.Kill(address);
     }
     mSimulation.Wipe("10.0.0.2:1");
-    mSimulation.Reseed({ "10.0.0.9:1", "10.0.0.12:1", "10.0.0.17:1" });
+    mSimulation.ReplaceSeeds({ "10.0.0.9:1", "10.0.0.12:1", "10.0.0.17:1" });
     mSimulation.Advance(kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
@@ -628,7 +628,7 @@
   void HostRestartedAloneWithFollowersAsSeedsIsReferred()
   {
     Begin(3, 6, 1);
-    mSimulation.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
+    mSimulation.ReplaceSeeds({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
     mSimulation.Kill("10.0.0.9:1");
     mSimulation.Advance(200 * kMillisecond);
     mSimulation.Start("10.0.0.9:1", false);
@@ -639,7 +639,7 @@
   void RestartedFollowersInACircleAreFoundByARunningGroup()
   {
     Begin(3, 6, 1);
-    mSimulation.Reseed({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
+    mSimulation.ReplaceSeeds({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
     for (int host = 4; host <= 9; ++host) {
       mSimulation.Kill("10.0.0." + std::to_string(host) + ":1");
     }
@@ -735,7 +735,7 @@
     for (int step = 0; step < 6; ++step) {
       switch (below(5)) {
         case 0:
-          simulation.Reseed({ any(), any(), any() });
+          simulation.ReplaceSeeds({ any(), any(), any() });
           break;
         case 1:
           for (const std::string& address : simulation.Addresses()) {
