--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -16,7 +16,7 @@
 using geraniumpond::fakes::HostTrouble;
 
 constexpr HostTrouble kTroubles[] = { HostTrouble::None,
-                                      HostTrouble::CutFromControl,
+                                      HostTrouble::IsolatedFromControl,
                                       HostTrouble::Frozen,
                                       HostTrouble::LosePower };
 constexpr int kPercents[] = { 0, 40 };
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -99,8 +99,8 @@
     switch (mCase.mTrouble) {
       case HostTrouble::None:
         break;
-      case HostTrouble::CutFromControl:
-        mSimulation.mCutFromControl = aHosts;
+      case HostTrouble::IsolatedFromControl:
+        mSimulation.mIsolatedFromControl = aHosts;
         break;
       case HostTrouble::Frozen:
         mSimulation.mFrozen = aHosts;
@@ -116,7 +116,7 @@
   void End(const std::set<std::string>& aHosts)
   {
     mSimulation.mFrozen.clear();
-    mSimulation.mCutFromControl.clear();
+    mSimulation.mIsolatedFromControl.clear();
     for (const std::string& address : aHosts) {
       if (!mSimulation.Node(address).mAlive) {
         mSimulation.Start(address, false);
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -14,7 +14,7 @@
 enum class HostTrouble
 {
   None,
-  CutFromControl,
+  IsolatedFromControl,
   Frozen,
   LosePower,
 };
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -54,7 +54,7 @@
 
   std::string Play()
   {
-    mSimulation.mLose = [this](const SentMessage& aSent) {
+    mSimulation.mShouldDrop = [this](const SentMessage& aSent) {
       return IsBetweenHalves(aSent);
     };
     const bool heedless = mSchedule.mPlant == FleetPlant::Size;
@@ -367,8 +367,8 @@
   void Cut(const std::string& aHost, Micros aFor)
   {
     Log(aHost, "is cut off");
-    mSimulation.mCutOff.insert(aHost);
-    After(aFor, [this, aHost] { mSimulation.mCutOff.erase(aHost); });
+    mSimulation.mIsolated.insert(aHost);
+    After(aFor, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
   }
 
   void CutHalves(std::uint64_t aPick, Micros aFor)
@@ -393,10 +393,10 @@
       }
     }
     Log("schedule", "cuts off " + std::to_string(hosts.size()) + " hosts");
-    mSimulation.mCutFromControl = hosts;
+    mSimulation.mIsolatedFromControl = hosts;
     After(aFor, [this, hosts] {
-      if (mSimulation.mCutFromControl == hosts) {
-        mSimulation.mCutFromControl.clear();
+      if (mSimulation.mIsolatedFromControl == hosts) {
+        mSimulation.mIsolatedFromControl.clear();
       }
     });
   }
@@ -418,8 +418,8 @@
   void StallDisk(const std::string& aHost, Micros aFor)
   {
     Log(aHost, "has its disk stalled");
-    mSimulation.mStalled.insert(aHost);
-    After(aFor, [this, aHost] { mSimulation.mStalled.erase(aHost); });
+    mSimulation.mStalledDisks.insert(aHost);
+    After(aFor, [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
   }
 
   // Three of the control hosts that have not gone for good, running or not:
@@ -538,11 +538,11 @@
   void EndFaults()
   {
     Log("schedule", "faults end");
-    mSimulation.mCutOff.clear();
+    mSimulation.mIsolated.clear();
     mHalf.clear();
-    mSimulation.mCutFromControl.clear();
+    mSimulation.mIsolatedFromControl.clear();
     mSimulation.mFrozen.clear();
-    mSimulation.mStalled.clear();
+    mSimulation.mStalledDisks.clear();
     // Stops and starts that are under way come to their end.
     const Micros end = mSimulation.mNow + kStopTime + 3 * kSecond;
     while (!mLater.empty() && mSimulation.mNow < end && mFault.empty()) {
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -152,7 +152,7 @@
     if (mForgesChecks && message.consensus().has_leader_check()) {
       ForgeReply(sent);
     }
-    if (IsCut(aAddress, to) || (mLose && mLose(sent))) {
+    if (IsPartitioned(aAddress, to) || (mShouldDrop && mShouldDrop(sent))) {
       continue;
     }
     ChargeProcessorTime(node, message);
@@ -182,12 +182,12 @@
   mQueue.emplace(mNow + kTrip, std::move(reply));
 }
 
-bool FleetSimulation::IsCut(const std::string& aFrom,
-                            const std::string& aTo) const
+bool FleetSimulation::IsPartitioned(const std::string& aFrom,
+                                    const std::string& aTo) const
 {
-  return mCutOff.count(aFrom) + mCutOff.count(aTo) != 0 ||
-         (mCutFromControl.count(aFrom) != 0 && IsControl(aTo)) ||
-         (mCutFromControl.count(aTo) != 0 && IsControl(aFrom));
+  return mIsolated.count(aFrom) + mIsolated.count(aTo) != 0 ||
+         (mIsolatedFromControl.count(aFrom) != 0 && IsControl(aTo)) ||
+         (mIsolatedFromControl.count(aTo) != 0 && IsControl(aFrom));
 }
 
 void FleetSimulation::ChargeProcessorTime(FleetNode& aNode,
@@ -228,7 +228,8 @@
     if (!node.mAlive || node.mSettings.mIncarnation != sync.mIncarnation) {
       continue;
     }
-    if (mStalled.count(sync.mAddress) + mFrozen.count(sync.mAddress) != 0) {
+    if (mStalledDisks.count(sync.mAddress) + mFrozen.count(sync.mAddress) !=
+        0) {
       mSyncs.emplace(mNow + kStepTime, sync);
       continue;
     }
@@ -318,7 +319,7 @@
 std::string FleetSimulation::Leader() const
 {
   for (const auto& [address, node] : mNodes) {
-    if (node.mAlive && mCutOff.count(address) == 0 &&
+    if (node.mAlive && mIsolated.count(address) == 0 &&
         consensus::IsLeader(node.mState.mGroup)) {
       return address;
     }
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -127,15 +127,15 @@
   [[nodiscard]] std::vector<std::string> Addresses() const;
 
   /// Hosts that cannot exchange messages with any other one.
-  std::set<std::string> mCutOff;
+  std::set<std::string> mIsolated;
   /// Hosts that cannot exchange messages with those that have a disk.
-  std::set<std::string> mCutFromControl;
+  std::set<std::string> mIsolatedFromControl;
   /// Hosts that do nothing; what is sent to them waits.
   std::set<std::string> mFrozen;
   /// Hosts whose disks answer nothing.
-  std::set<std::string> mStalled;
+  std::set<std::string> mStalledDisks;
   /// Messages for which it returns true are lost.
-  std::function<bool(const SentMessage&)> mLose;
+  std::function<bool(const SentMessage&)> mShouldDrop;
   /// A planted fault: a loss of power takes what was synced last.
   bool mForgetsSynced = false;
   /// A planted fault: whoever asks whether it leads is told so at once.
@@ -145,8 +145,8 @@
 
 private:
   void Take(const std::string& aAddress, const fleet::Output& aOutput);
-  [[nodiscard]] bool IsCut(const std::string& aFrom,
-                           const std::string& aTo) const;
+  [[nodiscard]] bool IsPartitioned(const std::string& aFrom,
+                                   const std::string& aTo) const;
   void TakeArrived(const std::string& aAddress, FleetNode& aNode);
   [[nodiscard]] bool HasProcessorTime(const FleetNode& aNode) const;
   void ForgeReply(const SentMessage& aCheck);
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -30,19 +30,20 @@
   const FleetNode& node = mSimulation.At(aAddress);
   return std::to_string(node.mAlive ? node.mSettings.mIncarnation : 0) +
          (node.mState.mStopping ? " stops" : "") +
-         (mSimulation.mCutOff.count(aAddress) != 0 ? " cut" : "") +
+         (mSimulation.mIsolated.count(aAddress) != 0 ? " cut" : "") +
          (mSimulation.mFrozen.count(aAddress) != 0 ? " frozen" : "") +
-         (mSimulation.mStalled.count(aAddress) != 0 ? " stalled" : "") +
-         (mSimulation.mCutFromControl.count(aAddress) != 0 ? " cut from control"
-                                                           : "");
+         (mSimulation.mStalledDisks.count(aAddress) != 0 ? " stalled" : "") +
+         (mSimulation.mIsolatedFromControl.count(aAddress) != 0
+            ? " cut from control"
+            : "");
 }
 
 bool FleetCalm::IsThere(const std::string& aAddress) const
 {
   return mSimulation.At(aAddress).mAlive &&
-         mSimulation.mCutOff.count(aAddress) == 0 &&
+         mSimulation.mIsolated.count(aAddress) == 0 &&
          mSimulation.mFrozen.count(aAddress) == 0 &&
-         mSimulation.mStalled.count(aAddress) == 0;
+         mSimulation.mStalledDisks.count(aAddress) == 0;
 }
 
 Micros FleetCalm::Since(const std::string& aWho, const std::string& aCondition)
@@ -59,7 +60,8 @@
   const Micros since = Since(aAddress, ConditionOf(aAddress));
   return mSimulation.mNow - since > kContact &&
          !mSimulation.At(aAddress).mState.mStopping &&
-         mSimulation.mCutFromControl.count(aAddress) == 0 && IsThere(aAddress);
+         mSimulation.mIsolatedFromControl.count(aAddress) == 0 &&
+         IsThere(aAddress);
 }
 
 bool FleetCalm::IsLost(const std::string& aAddress)
--- a/tests/fleet_cut_test.cpp
+++ b/tests/fleet_cut_test.cpp
@@ -94,7 +94,7 @@
   {
     for (const std::string& address : mSimulation.Addresses()) {
       if (!mSimulation.IsControl(address) && mRandom() % 10 < 4) {
-        mSimulation.mCutFromControl.insert(address);
+        mSimulation.mIsolatedFromControl.insert(address);
       }
     }
   }
@@ -127,8 +127,9 @@
     for (const std::string& address : mSimulation.Addresses()) {
       const catalog::State& catalog = mSimulation.Node(address).mState.mCatalog;
       behind +=
-        mSimulation.mCutFromControl.count(address) == 0 && !aHolds(catalog) ? 1
-                                                                            : 0;
+        mSimulation.mIsolatedFromControl.count(address) == 0 && !aHolds(catalog)
+          ? 1
+          : 0;
     }
     CPPUNIT_ASSERT_EQUAL_MESSAGE(
       "hosts behind, seed " + std::to_string(aSeed), 0, behind);
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -371,11 +371,11 @@
     const std::string leaves =
       cut == FounderAddress(1) ? FounderAddress(2) : FounderAddress(1);
     Join(simulation, kNewcomer);
-    simulation.mCutOff = { cut };
+    simulation.mIsolated = { cut };
     simulation.Stop(leaves);
     simulation.Advance(kStopTime);
     simulation.Kill(leaves);
-    simulation.mCutOff.clear();
+    simulation.mIsolated.clear();
     CPPUNIT_ASSERT(simulation.RunUntil(kBackTime, [&] {
       return simulation.Voters() == 3 && !IsVoter(simulation, leaves);
     }));
@@ -385,7 +385,7 @@
   void LearnerThatNeverCatchesUpIsForgotten()
   {
     FleetSimulation simulation = StartedFleet();
-    simulation.mLose = [](const fakes::SentMessage& aSent) {
+    simulation.mShouldDrop = [](const fakes::SentMessage& aSent) {
       return aSent.mTo == kNewcomer;
     };
     simulation.Add(kNewcomer, true);
@@ -439,7 +439,7 @@
     const std::string leaves = FounderAddress(2);
     simulation.Stop(leaves);
     bool joins = false;
-    simulation.mLose = [&](const fakes::SentMessage& aSent) {
+    simulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       joins = joins || (aSent.mFrom == leaves && aSent.mMessage.has_join());
       return false;
     };
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -92,7 +92,7 @@
              mSimulation.Commit(kControl, PutPolicyCommand(1, 0, "first"));
     }));
     mSimulation.Advance(2 * kSecond);
-    mSimulation.mLose = [](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [](const fakes::SentMessage& aSent) {
       return aSent.mMessage.has_follow_reply() && aSent.mTo == kReader;
     };
     CPPUNIT_ASSERT(mSimulation.Commit(kControl, PutPolicyCommand(2, 1, "two")));
@@ -110,7 +110,8 @@
     }));
     mSimulation.Advance(2 * kSecond);
     for (int place = 0; place < kDataCentres; ++place) {
-      mSimulation.mStalled.insert("10.0." + std::to_string(place) + ".1:1");
+      mSimulation.mStalledDisks.insert("10.0." + std::to_string(place) +
+                                       ".1:1");
     }
     (void)mSimulation.Submit(kControl, PutPolicyCommand(3, 2, "three"));
     mSimulation.Advance(100 * kMillisecond);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -101,7 +101,7 @@
   {
     Begin(3, 20, 1);
     int pushes = 0;
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       pushes += aSent.mMessage.has_follow_reply() &&
                     aSent.mMessage.follow_reply().commands_size() > 0
                   ? 1
@@ -131,7 +131,7 @@
     const std::string follower = "10.0.0.6:1";
     // The push of one change is lost, the next one arrives.
     bool lost = false;
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const bool push = aSent.mTo == follower &&
                         aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().commands_size() > 0;
@@ -154,7 +154,7 @@
   void FollowerFarBehindTakesASnapshot()
   {
     Begin(3, 1, 0);
-    mSimulation.mCutOff = { "10.0.0.4:1" };
+    mSimulation.mIsolated = { "10.0.0.4:1" };
     // Random text, so that its deflated form is large as well.
     std::mt19937_64 random(5);
     std::string large;
@@ -168,7 +168,7 @@
           version, version - 1, large + std::to_string(version))));
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), VersionAt("10.0.0.4:1"));
-    mSimulation.mCutOff.clear();
+    mSimulation.mIsolated.clear();
     CPPUNIT_ASSERT(mSimulation.RunUntil(
       3 * kSecond, [&] { return VersionAt("10.0.0.4:1") == 11; }));
   }
@@ -177,7 +177,7 @@
   {
     Begin(3, 1, 0);
     const std::string follower = "10.0.0.4:1";
-    mSimulation.mCutOff = { follower };
+    mSimulation.mIsolated = { follower };
     // So many commands that a snapshot is smaller.
     for (int i = 0; i < 400; ++i) {
       CPPUNIT_ASSERT(mSimulation.Commit(
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
     bool lost = false;
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const bool snapshot =
         aSent.mTo == follower && aSent.mMessage.has_follow_reply() &&
         !aSent.mMessage.follow_reply().packed_snapshot().empty();
@@ -194,7 +194,7 @@
       lost = lost || snapshot;
       return lose;
     };
-    mSimulation.mCutOff.clear();
+    mSimulation.mIsolated.clear();
     CPPUNIT_ASSERT(mSimulation.RunUntil(4 * kSecond, [&] { return lost; }));
     CPPUNIT_ASSERT(
       mSimulation.RunUntil(kSecond, [&] { return VersionAt(follower) == 2; }));
@@ -290,13 +290,13 @@
   {
     Begin(4, 1, 1);
     const std::string cut = mSimulation.Leader();
-    mSimulation.mCutOff = { cut };
+    mSimulation.mIsolated = { cut };
     mSimulation.Advance(4 * kSecond);
     mSimulation.Add("10.0.1.1:1", true);
     mSimulation.Start("10.0.1.1:1", false);
     CPPUNIT_ASSERT(mSimulation.RunUntil(
       8 * kSecond, [&] { return IsVoter("10.0.1.1:1") && !IsVoter(cut); }));
-    mSimulation.mCutOff.clear();
+    mSimulation.mIsolated.clear();
     CPPUNIT_ASSERT(
       mSimulation.RunUntil(10 * kSecond, [&] { return IsVoter(cut); }));
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), mSimulation.Voters());
@@ -307,10 +307,10 @@
     Begin(4, 2, 1);
     for (const std::string& address :
          { std::string("10.0.0.6:1"), mSimulation.Leader() }) {
-      mSimulation.mCutOff = { address };
+      mSimulation.mIsolated = { address };
       CPPUNIT_ASSERT(
         !mSimulation.Commit(address, PutTargetCommand("t", 5, true)));
-      mSimulation.mCutOff.clear();
+      mSimulation.mIsolated.clear();
       mSimulation.Advance(3 * kSecond);
     }
   }
@@ -453,7 +453,7 @@
     // The new leader commits nothing for a while, so that it holds no more than
     // what its disk knew to be committed.
     const Micros restarted = mSimulation.mNow;
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       return mSimulation.mNow < restarted + 800 * kMillisecond &&
              aSent.mMessage.has_consensus() &&
              aSent.mMessage.consensus().append_reply().success();
@@ -518,7 +518,7 @@
   {
     Begin(5, 20, 2);
     const std::set<std::string> minority = { "10.0.0.1:1", "10.0.0.2:1" };
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const bool control = mSimulation.Node(aSent.mFrom).mSettings.mControl &&
                            mSimulation.Node(aSent.mTo).mSettings.mControl;
       return control &&
@@ -539,7 +539,7 @@
   void EveryHostKnowsAllOthersThoughMessagesAreLost()
   {
     std::mt19937_64 random(3);
-    mSimulation.mLose = [&](const fakes::SentMessage&) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage&) {
       return random() % 20 == 0;
     };
     mSimulation.StartFleet(4, 12, 1);
@@ -556,7 +556,7 @@
   void HostsOutOfTouchKeepCountingTheOthers()
   {
     Begin(4, 6, 1);
-    mSimulation.mCutOff = { "10.0.0.1:1", "10.0.0.2:1" };
+    mSimulation.mIsolated = { "10.0.0.1:1", "10.0.0.2:1" };
     mSimulation.Advance(8 * kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_MESSAGE(
@@ -594,13 +594,13 @@
     std::uint64_t version = 1;
     for (const char* address :
          { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1" }) {
-      mSimulation.mCutOff = { address };
+      mSimulation.mIsolated = { address };
       CPPUNIT_ASSERT(mSimulation.RunUntil(5 * kSecond, [&] {
         return mSimulation.Commit("10.0.0.5:1",
                                   PutPolicyCommand(version + 1, version, "x"));
       }));
       ++version;
-      mSimulation.mCutOff.clear();
+      mSimulation.mIsolated.clear();
       mSimulation.Advance(4 * kSecond);
     }
   }
@@ -684,7 +684,7 @@
   {
     Begin(3, 40, 1);
     int introduced = 0;
-    mSimulation.mLose = [&](const fakes::SentMessage& aSent) {
+    mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       introduced += aSent.mMessage.has_follow_reply() &&
                         aSent.mMessage.follow_reply().brief()
                       ? 1
@@ -762,7 +762,7 @@
           break;
         }
         default:
-          simulation.mCutOff.insert(any());
+          simulation.mIsolated.insert(any());
           break;
       }
       simulation.Advance(below(1500) * kMillisecond);
@@ -771,11 +771,11 @@
       }
       down.clear();
       if (below(2) == 0) {
-        simulation.mCutOff.clear();
+        simulation.mIsolated.clear();
       }
       simulation.Advance(below(2000) * kMillisecond);
     }
-    simulation.mCutOff.clear();
+    simulation.mIsolated.clear();
     const auto serves = [&] {
       const std::vector<std::string> all = simulation.Addresses();
       return std::all_of(
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -71,7 +71,7 @@
     std::vector<std::string> voters = mWorld.VoterAddresses();
     voters.erase(std::find(voters.begin(), voters.end(), leader));
     const std::string with = voters.front();
-    mWorld.mLose = [&](const fakes::SentMessage& aSent) {
+    mWorld.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const auto isMinority = [&](const std::string& aAddress) {
         return aAddress == leader || aAddress == with;
       };
@@ -89,7 +89,7 @@
   {
     for (const int dataCentres : { 3, 1 }) {
       for (const HostTrouble trouble : { HostTrouble::None,
-                                         HostTrouble::CutFromControl,
+                                         HostTrouble::IsolatedFromControl,
                                          HostTrouble::Frozen,
                                          HostTrouble::LosePower }) {
         for (const int percent : { 0, 40 }) {
@@ -109,7 +109,7 @@
   void QuestionsForTheWordAreFewWhileTheGroupHasNoLeader()
   {
     Begin(3, 94);
-    mWorld.mLose = [](const fakes::SentMessage& aSent) {
+    mWorld.mShouldDrop = [](const fakes::SentMessage& aSent) {
       return aSent.mMessage.has_consensus();
     };
     const Micros away = 6 * kSecond;
