--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -58,8 +58,8 @@
       return IsBetweenHalves(aSent);
     };
     const bool heedless = mSchedule.mPlant == FleetPlant::Size;
-    mSimulation.mForgetsSynced = mSchedule.mPlant == FleetPlant::Sync;
-    mSimulation.mForgesChecks = mSchedule.mPlant == FleetPlant::Read;
+    mSimulation.mLosesSyncedWrites = mSchedule.mPlant == FleetPlant::Sync;
+    mSimulation.mForgesLeaderChecks = mSchedule.mPlant == FleetPlant::Read;
     mSimulation.StartFleet(
       mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -114,7 +114,7 @@
   node.mAlive = false;
   node.mUnsynced.clear();
   node.mDisk = node.mSyncedDisk;
-  if (mForgetsSynced && !node.mDisk.mEntries.empty()) {
+  if (mLosesSyncedWrites && !node.mDisk.mEntries.empty()) {
     node.mDisk.mEntries.pop_back();
   }
 }
@@ -149,8 +149,8 @@
   }
   for (const auto& [to, message] : aOutput.mMessages) {
     SentMessage sent{ aAddress, to, message };
-    if (mForgesChecks && message.consensus().has_leader_check()) {
-      ForgeReply(sent);
+    if (mForgesLeaderChecks && message.consensus().has_leader_check()) {
+      ForgeLeaderCheckReply(sent);
     }
     if (IsPartitioned(aAddress, to) || (mShouldDrop && mShouldDrop(sent))) {
       continue;
@@ -166,7 +166,7 @@
   }
 }
 
-void FleetSimulation::ForgeReply(const SentMessage& aCheck)
+void FleetSimulation::ForgeLeaderCheckReply(const SentMessage& aCheck)
 {
   const wire::ConsensusMessage& check = aCheck.mMessage.consensus();
   SentMessage reply;
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -137,9 +137,9 @@
   /// Messages for which it returns true are lost.
   std::function<bool(const SentMessage&)> mShouldDrop;
   /// A planted fault: a loss of power takes what was synced last.
-  bool mForgetsSynced = false;
+  bool mLosesSyncedWrites = false;
   /// A planted fault: whoever asks whether it leads is told so at once.
-  bool mForgesChecks = false;
+  bool mForgesLeaderChecks = false;
   Micros mNow = kSecond;
   ProcessingCost mProcessingCost;
 
@@ -149,7 +149,7 @@
                                    const std::string& aTo) const;
   void TakeArrived(const std::string& aAddress, FleetNode& aNode);
   [[nodiscard]] bool HasProcessorTime(const FleetNode& aNode) const;
-  void ForgeReply(const SentMessage& aCheck);
+  void ForgeLeaderCheckReply(const SentMessage& aCheck);
   void ChargeProcessorTime(FleetNode& aNode,
                            const wire::FleetMessage& aMessage);
   void Sync(FleetNode& aNode, std::uint64_t aSequence);
