--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -59,7 +59,7 @@
       End(hosts);
       mSimulation.Advance(kSettled);
     }
-    times.mQuestions = mSimulation.WordsAsked();
+    times.mQuestions = mSimulation.GroupStatusQueries();
     return times;
   }
 
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Micros kTrip = 1500;
+constexpr Micros kOneWayDelay = 1500;
 constexpr Micros kSyncTime = 1000;
 constexpr Micros kStepTime = 2 * kMillisecond;
 
@@ -29,7 +29,7 @@
   node.mSettings.mDataCentre = aDataCentre;
   node.mSettings.mControl = aDisk;
   node.mSettings.mSeeds = mSeeds;
-  node.mSettings.mToleratedLosses = mTolerated;
+  node.mSettings.mToleratedLosses = mToleratedLosses;
 }
 
 void FleetSimulation::ReplaceSeeds(const std::vector<std::string>& aSeeds)
@@ -59,12 +59,12 @@
   node.mBusyUntil = mNow;
   fleet::Output output;
   node.mState = fleet::Open(node.mSettings, node.mDisk, mNow, Random(), output);
-  Take(aAddress, output);
+  ProcessOutput(aAddress, output);
 }
 
 void FleetSimulation::StartFleet(int aDisks, int aOthers, int aToleratedLosses)
 {
-  mTolerated = aToleratedLosses;
+  mToleratedLosses = aToleratedLosses;
   for (int i = 1; i <= std::min(3, aDisks); ++i) {
     mSeeds.push_back("10.0.0." + std::to_string(i) + ":1");
   }
@@ -80,7 +80,7 @@
                                        int aOthers,
                                        int aToleratedLosses)
 {
-  mTolerated = aToleratedLosses;
+  mToleratedLosses = aToleratedLosses;
   const auto control = [](int aIndex) {
     return "10.0." + std::to_string(aIndex) + ".1:1";
   };
@@ -105,7 +105,7 @@
 {
   fleet::Output output;
   fleet::BeginStop(mNodes.at(aAddress).mState, mNow, output);
-  Take(aAddress, output);
+  ProcessOutput(aAddress, output);
 }
 
 void FleetSimulation::LosePower(const std::string& aAddress)
@@ -127,7 +127,7 @@
   node.mSyncedDisk = consensus::Recovered();
 }
 
-void FleetSimulation::Sync(FleetNode& aNode, std::uint64_t aSequence)
+void FleetSimulation::MarkSynced(FleetNode& aNode, std::uint64_t aSequence)
 {
   while (!aNode.mUnsynced.empty() &&
          aNode.mUnsynced.front().mSequence <= aSequence) {
@@ -136,8 +136,8 @@
   }
 }
 
-void FleetSimulation::Take(const std::string& aAddress,
-                           const fleet::Output& aOutput)
+void FleetSimulation::ProcessOutput(const std::string& aAddress,
+                                    const fleet::Output& aOutput)
 {
   FleetNode& node = mNodes.at(aAddress);
   for (const consensus::Write& write : aOutput.mWrites) {
@@ -156,7 +156,7 @@
       continue;
     }
     ChargeProcessorTime(node, message);
-    mQueue.emplace(mNow + kTrip, std::move(sent));
+    mQueue.emplace(mNow + kOneWayDelay, std::move(sent));
   }
   for (const fleet::Done& done : aOutput.mDone) {
     node.mDone[done.mId] = done;
@@ -179,7 +179,7 @@
   forged.set_to(check.from());
   forged.set_term(check.term());
   forged.mutable_leader_check_reply()->set_round(check.leader_check().round());
-  mQueue.emplace(mNow + kTrip, std::move(reply));
+  mQueue.emplace(mNow + kOneWayDelay, std::move(reply));
 }
 
 bool FleetSimulation::IsPartitioned(const std::string& aFrom,
@@ -207,19 +207,20 @@
   return aNode.mBusyUntil < mNow + kStepTime;
 }
 
-void FleetSimulation::TakeArrived(const std::string& aAddress, FleetNode& aNode)
+void FleetSimulation::ProcessInbox(const std::string& aAddress,
+                                   FleetNode& aNode)
 {
   while (aNode.mAlive && !aNode.mInbox.IsEmpty() && HasProcessorTime(aNode)) {
     for (const wire::FleetMessage& message : aNode.mInbox.Take(1)) {
       ChargeProcessorTime(aNode, message);
       fleet::Output output;
       fleet::Receive(aNode.mState, mNow, Random(), message, output);
-      Take(aAddress, output);
+      ProcessOutput(aAddress, output);
     }
   }
 }
 
-void FleetSimulation::SyncDue()
+void FleetSimulation::CompleteDueSyncs()
 {
   while (!mSyncs.empty() && mSyncs.begin()->first <= mNow) {
     const PendingSync sync = mSyncs.begin()->second;
@@ -233,10 +234,10 @@
       mSyncs.emplace(mNow + kStepTime, sync);
       continue;
     }
-    Sync(node, sync.mSequence);
+    MarkSynced(node, sync.mSequence);
     fleet::Output output;
     fleet::Synced(node.mState, mNow, sync.mSequence, output);
-    Take(sync.mAddress, output);
+    ProcessOutput(sync.mAddress, output);
   }
 }
 
@@ -245,7 +246,7 @@
   const Micros end = mNow + aTime;
   while (mNow < end) {
     mNow += kStepTime;
-    SyncDue();
+    CompleteDueSyncs();
     while (!mQueue.empty() && mQueue.begin()->first <= mNow) {
       const SentMessage sent = std::move(mQueue.begin()->second);
       mQueue.erase(mQueue.begin());
@@ -253,7 +254,7 @@
       if (node != mNodes.end() && node->second.mAlive) {
         (void)node->second.mInbox.Put(sent.mMessage.SerializeAsString());
         if (mFrozen.count(sent.mTo) == 0) {
-          TakeArrived(sent.mTo, node->second);
+          ProcessInbox(sent.mTo, node->second);
         }
       }
     }
@@ -265,9 +266,9 @@
           mNow >= fleet::NextTick(node.mState)) {
         fleet::Output output;
         fleet::Tick(node.mState, mNow, Random(), output);
-        Take(address, output);
+        ProcessOutput(address, output);
       }
-      TakeArrived(address, node);
+      ProcessInbox(address, node);
     }
   }
 }
@@ -291,7 +292,7 @@
   fleet::Output output;
   const std::uint64_t id = fleet::Submit(
     mNodes.at(aAddress).mState, mNow, aCommand, 850 * kMillisecond, output);
-  Take(aAddress, output);
+  ProcessOutput(aAddress, output);
   return id;
 }
 
@@ -307,7 +308,7 @@
          found->second.mOutcome.accepted();
 }
 
-std::uint64_t FleetSimulation::WordsAsked() const
+std::uint64_t FleetSimulation::GroupStatusQueries() const
 {
   std::uint64_t asked = 0;
   for (const auto& [address, node] : mNodes) {
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -119,7 +119,7 @@
     return Has(aAddress) && At(aAddress).mSettings.mControl;
   }
   /// \brief Questions for the group's word that all hosts have asked.
-  [[nodiscard]] std::uint64_t WordsAsked() const;
+  [[nodiscard]] std::uint64_t GroupStatusQueries() const;
   [[nodiscard]] std::string Leader() const;
   /// \brief Voters as the leader counts them; none without one.
   [[nodiscard]] std::size_t Voters() const { return VoterAddresses().size(); }
@@ -144,21 +144,21 @@
   ProcessingCost mProcessingCost;
 
 private:
-  void Take(const std::string& aAddress, const fleet::Output& aOutput);
+  void ProcessOutput(const std::string& aAddress, const fleet::Output& aOutput);
   [[nodiscard]] bool IsPartitioned(const std::string& aFrom,
                                    const std::string& aTo) const;
-  void TakeArrived(const std::string& aAddress, FleetNode& aNode);
+  void ProcessInbox(const std::string& aAddress, FleetNode& aNode);
   [[nodiscard]] bool HasProcessorTime(const FleetNode& aNode) const;
   void ForgeLeaderCheckReply(const SentMessage& aCheck);
   void ChargeProcessorTime(FleetNode& aNode,
                            const wire::FleetMessage& aMessage);
-  void Sync(FleetNode& aNode, std::uint64_t aSequence);
-  void SyncDue();
+  void MarkSynced(FleetNode& aNode, std::uint64_t aSequence);
+  void CompleteDueSyncs();
   std::uint64_t Random() { return mRandom(); }
 
   std::mt19937_64 mRandom;
   std::vector<std::string> mSeeds;
-  int mTolerated = 0;
+  int mToleratedLosses = 0;
   std::map<std::string, FleetNode> mNodes;
   std::multimap<Micros, SentMessage> mQueue;
   std::multimap<Micros, PendingSync> mSyncs;
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -60,7 +60,7 @@
         }
       }
       CPPUNIT_ASSERT_MESSAGE(std::to_string(oldest), oldest < kAskAfter);
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), mWorld.WordsAsked());
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), mWorld.GroupStatusQueries());
     }
   }
 
@@ -115,8 +115,8 @@
     const Micros away = 6 * kSecond;
     mWorld.Advance(away);
     const auto most = static_cast<std::uint64_t>(94 * 6);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(mWorld.WordsAsked()),
-                           mWorld.WordsAsked() <= most);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(mWorld.GroupStatusQueries()),
+                           mWorld.GroupStatusQueries() <= most);
   }
 
 private:
