--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -25,11 +25,11 @@
 
 fakes::FleetSchedule MakeSchedule(std::uint64_t aSeed,
                                   bool aReads,
-                                  fakes::FleetPlant aPlant)
+                                  fakes::FleetDefect aPlant)
 {
   fakes::FleetSchedule schedule = fakes::MakeFleetSchedule(aSeed);
   schedule.mReads = aReads;
-  schedule.mPlant = aPlant;
+  schedule.mDefect = aPlant;
   return schedule;
 }
 
@@ -132,19 +132,19 @@
     return Show(fakes::ShrinkFleetSchedule(
       MakeSchedule(static_cast<std::uint64_t>(options.Number("show", 0)),
                    options.Number("reads", 0) != 0,
-                   fakes::FleetPlant::None)));
+                   fakes::FleetDefect::None)));
   }
   const auto first = static_cast<std::uint64_t>(options.Number("first", 1));
   const auto seeds = static_cast<std::uint64_t>(options.Number("seeds", 0));
   const auto seconds = options.Number("seconds", 10);
   const auto start = std::chrono::steady_clock::now();
-  const std::optional<fakes::FleetPlant> plant =
-    fakes::PlantOf(options.Text("plant", "none"));
+  const std::optional<fakes::FleetDefect> plant =
+    fakes::ParseFleetDefect(options.Text("plant", "none"));
   if (!plant) {
     std::cerr << "--plant: one of none, sync, size, read\n";
     return 2;
   }
-  const bool planted = *plant != fakes::FleetPlant::None;
+  const bool planted = *plant != fakes::FleetDefect::None;
   std::uint64_t played = 0;
   int broken = 0;
   const auto goesOn = [&] {
--- a/tests/fakes/fleet_schedule.cpp
+++ b/tests/fakes/fleet_schedule.cpp
@@ -29,7 +29,7 @@
   "settle",
 };
 
-constexpr std::array<const char*, 4> kPlantNames = {
+constexpr std::array<const char*, 4> kDefectNames = {
   "none",
   "sync",
   "size",
@@ -43,13 +43,13 @@
   return kFaultNames[static_cast<std::size_t>(aFault)];
 }
 
-std::optional<FleetPlant> PlantOf(const std::string& aName)
+std::optional<FleetDefect> ParseFleetDefect(const std::string& aName)
 {
-  const auto* name = std::find(kPlantNames.begin(), kPlantNames.end(), aName);
-  if (name == kPlantNames.end()) {
+  const auto* name = std::find(kDefectNames.begin(), kDefectNames.end(), aName);
+  if (name == kDefectNames.end()) {
     return std::nullopt;
   }
-  return static_cast<FleetPlant>(name - kPlantNames.begin());
+  return static_cast<FleetDefect>(name - kDefectNames.begin());
 }
 
 FleetSchedule MakeFleetSchedule(std::uint64_t aSeed)
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -52,19 +52,20 @@
 [[nodiscard]] const char* ToString(FleetFault aFault) noexcept;
 
 /// \brief A fault of the fleet itself, to show that the checks find it.
-enum class FleetPlant
+enum class FleetDefect
 {
   None,
   /// A loss of power takes what a disk had synced last.
-  Sync,
+  LosesSyncedWrites,
   /// Hosts think that no loss need be tolerated.
-  Size,
+  ToleratesNoLoss,
   /// Leaders take it for granted that a quorum follows them.
-  Read,
+  TrustsUnconfirmedLeader,
 };
 
 /// \brief The plant of a name; nothing for an unknown one.
-[[nodiscard]] std::optional<FleetPlant> PlantOf(const std::string& aName);
+[[nodiscard]] std::optional<FleetDefect> ParseFleetDefect(
+  const std::string& aName);
 
 /// \brief One step of a schedule.
 struct FleetStep
@@ -83,7 +84,7 @@
   int mDisks = 3;
   int mOthers = 3;
   int mTolerated = 1;
-  FleetPlant mPlant = FleetPlant::None;
+  FleetDefect mDefect = FleetDefect::None;
   /// Operators read the policy all along.
   bool mReads = false;
   std::vector<FleetStep> mSteps;
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -57,9 +57,11 @@
     mSimulation.mShouldDrop = [this](const SentMessage& aSent) {
       return IsBetweenHalves(aSent);
     };
-    const bool heedless = mSchedule.mPlant == FleetPlant::Size;
-    mSimulation.mLosesSyncedWrites = mSchedule.mPlant == FleetPlant::Sync;
-    mSimulation.mForgesLeaderChecks = mSchedule.mPlant == FleetPlant::Read;
+    const bool heedless = mSchedule.mDefect == FleetDefect::ToleratesNoLoss;
+    mSimulation.mLosesSyncedWrites =
+      mSchedule.mDefect == FleetDefect::LosesSyncedWrites;
+    mSimulation.mForgesLeaderChecks =
+      mSchedule.mDefect == FleetDefect::TrustsUnconfirmedLeader;
     mSimulation.StartFleet(
       mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
