--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -28,7 +28,7 @@
   const auto options = geraniumpond::fakes::ParseOptions(aCount, aWords);
   const int changes = static_cast<int>(options.Number("changes", 10));
   ChangeCase one;
-  one.mOthers = static_cast<int>(options.Number("hosts", 94));
+  one.mHostsWithoutDisk = static_cast<int>(options.Number("hosts", 94));
   one.mDataCentres = static_cast<int>(options.Number("data-centres", 3));
   std::printf("hosts  levels  trouble                 of hosts  slowest ms  "
               "questions a change\n");
@@ -39,7 +39,7 @@
       const ChangeTimes times =
         geraniumpond::fakes::MeasureChanges(one, changes, 36);
       std::printf("%5d  %6d  %-22s  %7s  %10lld  %8.1f\n",
-                  one.mOthers,
+                  one.mHostsWithoutDisk,
                   times.mLevels,
                   ToString(trouble),
                   percent == 0 ? "one" : "40 %",
--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -28,7 +28,7 @@
                                   fakes::FleetDefect aPlant)
 {
   fakes::FleetSchedule schedule = fakes::MakeFleetSchedule(aSeed);
-  schedule.mReads = aReads;
+  schedule.mReadPolicy = aReads;
   schedule.mDefect = aPlant;
   return schedule;
 }
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -27,8 +27,9 @@
     , mSimulation(aSeed)
     , mRandom(aSeed)
   {
-    mSimulation.StartSpreadFleet(
-      mCase.mDataCentres, mCase.mOthers, (mCase.mDataCentres - 1) / 2);
+    mSimulation.StartSpreadFleet(mCase.mDataCentres,
+                                 mCase.mHostsWithoutDisk,
+                                 (mCase.mDataCentres - 1) / 2);
     const auto voters = static_cast<std::size_t>(mCase.mDataCentres);
     if (!mSimulation.RunUntil(kSettled,
                               [&] { return mSimulation.Voters() == voters; })) {
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -25,7 +25,7 @@
 struct ChangeCase
 {
   int mDataCentres = 3;
-  int mOthers = 94;
+  int mHostsWithoutDisk = 94;
   HostTrouble mTrouble = HostTrouble::None;
   /// Of the hosts without a disk; 0 for one that others follow.
   int mPercent = 0;
--- a/tests/fakes/fleet_schedule.cpp
+++ b/tests/fakes/fleet_schedule.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kMostSteps = 14;
+constexpr int kMaxSteps = 14;
 
 constexpr std::array<const char*, 15> kFaultNames = {
   "restart",
@@ -61,15 +61,15 @@
   FleetSchedule schedule;
   schedule.mSeed = aSeed;
   schedule.mTolerated = below(4) == 0 ? 2 : 1;
-  schedule.mDisks = 2 * schedule.mTolerated + 1 + below(3);
+  schedule.mHostsWithDisk = 2 * schedule.mTolerated + 1 + below(3);
   // Most are small; in some there are hosts below relays.
-  schedule.mOthers = below(8) == 0 ? 16 + below(24) : 2 + below(4);
-  const int steps = 2 + below(kMostSteps);
+  schedule.mHostsWithoutDisk = below(8) == 0 ? 16 + below(24) : 2 + below(4);
+  const int steps = 2 + below(kMaxSteps);
   for (int i = 0; i < steps; ++i) {
     FleetStep step;
     step.mFault = static_cast<FleetFault>(below(kFaultNames.size()));
-    step.mPick = random();
-    step.mFor = (50 + below(4000)) * kMillisecond;
+    step.mSelector = random();
+    step.mDuration = (50 + below(4000)) * kMillisecond;
     // Many faults strike while others last.
     step.mPause =
       below(3) == 0 ? below(400) * kMillisecond : below(5000) * kMillisecond;
@@ -98,13 +98,13 @@
 std::string Describe(const FleetSchedule& aSchedule)
 {
   std::ostringstream out;
-  out << "seed=" << aSchedule.mSeed << " disks=" << aSchedule.mDisks
-      << " others=" << aSchedule.mOthers
+  out << "seed=" << aSchedule.mSeed << " disks=" << aSchedule.mHostsWithDisk
+      << " others=" << aSchedule.mHostsWithoutDisk
       << " tolerated=" << aSchedule.mTolerated
-      << (aSchedule.mReads ? " reads=1" : "") << "\n";
+      << (aSchedule.mReadPolicy ? " reads=1" : "") << "\n";
   for (const FleetStep& step : aSchedule.mSteps) {
-    out << "  " << ToString(step.mFault) << " pick=" << step.mPick
-        << " for_ms=" << step.mFor / kMillisecond
+    out << "  " << ToString(step.mFault) << " pick=" << step.mSelector
+        << " for_ms=" << step.mDuration / kMillisecond
         << " pause_ms=" << step.mPause / kMillisecond << "\n";
   }
   return out.str();
@@ -129,10 +129,10 @@
     };
     if (first.rfind("seed=", 0) == 0) {
       schedule.mSeed = number("seed");
-      schedule.mDisks = static_cast<int>(number("disks"));
-      schedule.mOthers = static_cast<int>(number("others"));
+      schedule.mHostsWithDisk = static_cast<int>(number("disks"));
+      schedule.mHostsWithoutDisk = static_cast<int>(number("others"));
       schedule.mTolerated = static_cast<int>(number("tolerated"));
-      schedule.mReads = number("reads") != 0;
+      schedule.mReadPolicy = number("reads") != 0;
       continue;
     }
     const auto* name = std::find(kFaultNames.begin(), kFaultNames.end(), first);
@@ -141,8 +141,8 @@
     }
     FleetStep step;
     step.mFault = static_cast<FleetFault>(name - kFaultNames.begin());
-    step.mPick = number("pick");
-    step.mFor = static_cast<Micros>(number("for_ms")) * kMillisecond;
+    step.mSelector = number("pick");
+    step.mDuration = static_cast<Micros>(number("for_ms")) * kMillisecond;
     step.mPause = static_cast<Micros>(number("pause_ms")) * kMillisecond;
     schedule.mSteps.push_back(step);
   }
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -32,13 +32,13 @@
   /// All hosts lose power.
   LoseAllPower,
   /// All hosts lose power, one of them its disk.
-  LoseAllPowerAndADisk,
+  LoseAllPowerAndOneDisk,
   /// A control host is cut off from all others.
-  Cut,
+  IsolateHost,
   /// The control hosts are cut into two halves; others reach both.
-  CutHalves,
+  SplitControlHosts,
   /// Four in ten hosts without a disk are cut off from all control hosts.
-  CutHosts,
+  IsolateFromControl,
   Freeze,
   /// A disk answers nothing for a while.
   StallDisk,
@@ -72,8 +72,8 @@
 {
   FleetFault mFault = FleetFault::Settle;
   /// Which of the hosts that fit.
-  std::uint64_t mPick = 0;
-  Micros mFor = 0;
+  std::uint64_t mSelector = 0;
+  Micros mDuration = 0;
   /// Time until the next step.
   Micros mPause = 0;
 };
@@ -81,12 +81,12 @@
 struct FleetSchedule
 {
   std::uint64_t mSeed = 0;
-  int mDisks = 3;
-  int mOthers = 3;
+  int mHostsWithDisk = 3;
+  int mHostsWithoutDisk = 3;
   int mTolerated = 1;
   FleetDefect mDefect = FleetDefect::None;
   /// Operators read the policy all along.
-  bool mReads = false;
+  bool mReadPolicy = false;
   std::vector<FleetStep> mSteps;
 };
 
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -62,9 +62,10 @@
       mSchedule.mDefect == FleetDefect::LosesSyncedWrites;
     mSimulation.mForgesLeaderChecks =
       mSchedule.mDefect == FleetDefect::TrustsUnconfirmedLeader;
-    mSimulation.StartFleet(
-      mSchedule.mDisks, mSchedule.mOthers, heedless ? 0 : mSchedule.mTolerated);
-    const auto disks = static_cast<std::size_t>(mSchedule.mDisks);
+    mSimulation.StartFleet(mSchedule.mHostsWithDisk,
+                           mSchedule.mHostsWithoutDisk,
+                           heedless ? 0 : mSchedule.mTolerated);
+    const auto disks = static_cast<std::size_t>(mSchedule.mHostsWithDisk);
     if (!mSimulation.RunUntil(10 * kSecond,
                               [&] { return mSimulation.Voters() == disks; })) {
       return "no group was founded";
@@ -148,7 +149,7 @@
   }
 
   // A running control host that is not about to go.
-  std::string PickControl(std::uint64_t aPick)
+  std::string PickControl(std::uint64_t aSelector)
   {
     std::vector<std::string> hosts = Hosts(true, true);
     hosts.erase(std::remove_if(hosts.begin(),
@@ -157,7 +158,7 @@
                                  return mBusy.count(aHost) != 0;
                                }),
                 hosts.end());
-    return hosts.empty() ? "" : hosts[aPick % hosts.size()];
+    return hosts.empty() ? "" : hosts[aSelector % hosts.size()];
   }
 
   void StartAgain(const std::string& aAddress)
@@ -212,51 +213,53 @@
   {
     switch (aStep.mFault) {
       case FleetFault::Restart:
-        Restart(PickControl(aStep.mPick), aStep.mFor);
+        Restart(PickControl(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplacePlanned:
-        ReplacePlanned(PickControl(aStep.mPick), aStep.mFor);
+        ReplacePlanned(PickControl(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplaceLost:
-        ReplaceLost(PickControl(aStep.mPick), aStep.mFor);
+        ReplaceLost(PickControl(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::LoseDisk:
-        Down(PickControl(aStep.mPick), aStep.mFor, true, true);
+        Down(PickControl(aStep.mSelector), aStep.mDuration, true, true);
         break;
       case FleetFault::Kill: {
         const std::vector<std::string> hosts = Hosts(false, true);
         if (!hosts.empty()) {
-          const std::string& host = hosts[aStep.mPick % hosts.size()];
-          Down(mBusy.count(host) == 0 ? host : "", aStep.mFor, false, false);
+          const std::string& host = hosts[aStep.mSelector % hosts.size()];
+          Down(
+            mBusy.count(host) == 0 ? host : "", aStep.mDuration, false, false);
         }
         break;
       }
       case FleetFault::LosePower:
-        Down(PickControl(aStep.mPick), aStep.mFor, true, false);
+        Down(PickControl(aStep.mSelector), aStep.mDuration, true, false);
         break;
       case FleetFault::LoseAllPower:
-        LoseAllPower(aStep.mFor, "");
+        LoseAllPower(aStep.mDuration, "");
         break;
-      case FleetFault::LoseAllPowerAndADisk:
-        LoseAllPower(aStep.mFor, MayLoseDisk() ? PickControl(aStep.mPick) : "");
+      case FleetFault::LoseAllPowerAndOneDisk:
+        LoseAllPower(aStep.mDuration,
+                     MayLoseDisk() ? PickControl(aStep.mSelector) : "");
         break;
-      case FleetFault::Cut:
-        Cut(PickControl(aStep.mPick), aStep.mFor);
+      case FleetFault::IsolateHost:
+        IsolateHost(PickControl(aStep.mSelector), aStep.mDuration);
         break;
-      case FleetFault::CutHalves:
-        CutHalves(aStep.mPick, aStep.mFor);
+      case FleetFault::SplitControlHosts:
+        SplitControlHosts(aStep.mSelector, aStep.mDuration);
         break;
-      case FleetFault::CutHosts:
-        CutHosts(aStep.mPick, aStep.mFor);
+      case FleetFault::IsolateFromControl:
+        IsolateFromControl(aStep.mSelector, aStep.mDuration);
         break;
       case FleetFault::Freeze:
-        Freeze(PickControl(aStep.mPick), aStep.mFor);
+        Freeze(PickControl(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::StallDisk:
-        StallDisk(PickControl(aStep.mPick), aStep.mFor);
+        StallDisk(PickControl(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplaceSeeds:
-        ReplaceSeeds(aStep.mPick);
+        ReplaceSeeds(aStep.mSelector);
         break;
       case FleetFault::Settle:
         Settle();
@@ -264,7 +267,7 @@
     }
   }
 
-  void Restart(const std::string& aHost, Micros aFor)
+  void Restart(const std::string& aHost, Micros aDuration)
   {
     if (aHost.empty()) {
       return;
@@ -272,9 +275,9 @@
     Log(aHost, "is told to stop");
     mBusy.insert(aHost);
     mSimulation.Stop(aHost);
-    After(kStopTime, [this, aHost, aFor] {
+    After(kStopTime, [this, aHost, aDuration] {
       mSimulation.Kill(aHost);
-      After(aFor, [this, aHost] { StartAgain(aHost); });
+      After(aDuration, [this, aHost] { StartAgain(aHost); });
     });
   }
 
@@ -301,14 +304,14 @@
            std::count(voters.begin(), voters.end(), aHost) != 0;
   }
 
-  void ReplacePlanned(const std::string& aHost, Micros aFor)
+  void ReplacePlanned(const std::string& aHost, Micros aDuration)
   {
     if (aHost.empty()) {
       return;
     }
     mBusy.insert(aHost);
     AddControl();
-    After(std::max(kSecond, aFor), [this, aHost] {
+    After(std::max(kSecond, aDuration), [this, aHost] {
       if (Node(aHost).mAlive) {
         Log(aHost, "is told to stop");
         mSimulation.Stop(aHost);
@@ -317,7 +320,7 @@
     });
   }
 
-  void ReplaceLost(const std::string& aHost, Micros aFor)
+  void ReplaceLost(const std::string& aHost, Micros aDuration)
   {
     if (aHost.empty() || !MayLoseDisk()) {
       return;
@@ -327,14 +330,14 @@
     mSimulation.LosePower(aHost);
     mRemoved.insert(aHost);
     mCalm.LoseForGood();
-    After(aFor, [this] {
+    After(aDuration, [this] {
       AddControl();
       mCalm.Replace();
     });
     After(kSeedLag, [this] { ReplaceSeeds(0); });
   }
 
-  void Down(const std::string& aHost, Micros aFor, bool aPower, bool aDisk)
+  void Down(const std::string& aHost, Micros aDuration, bool aPower, bool aDisk)
   {
     if (aHost.empty() || (aDisk && !MayLoseDisk())) {
       return;
@@ -350,14 +353,14 @@
       ++mDisksLost;
       mSimulation.Wipe(aHost);
     }
-    After(aFor, [this, aHost] { StartAgain(aHost); });
+    After(aDuration, [this, aHost] { StartAgain(aHost); });
   }
 
-  void LoseAllPower(Micros aFor, const std::string& aWiped)
+  void LoseAllPower(Micros aDuration, const std::string& aWiped)
   {
     for (const std::string& address : Hosts(false, true)) {
       mSimulation.LosePower(address);
-      After(aFor, [this, address] { StartAgain(address); });
+      After(aDuration, [this, address] { StartAgain(address); });
     }
     if (!aWiped.empty()) {
       Log(aWiped, "loses its disk");
@@ -366,28 +369,28 @@
     }
   }
 
-  void Cut(const std::string& aHost, Micros aFor)
+  void IsolateHost(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "is cut off");
     mSimulation.mIsolated.insert(aHost);
-    After(aFor, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
+    After(aDuration, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
   }
 
-  void CutHalves(std::uint64_t aPick, Micros aFor)
+  void SplitControlHosts(std::uint64_t aSelector, Micros aDuration)
   {
     std::set<std::string> half;
     for (const std::string& address : Hosts(true, false)) {
-      if ((aPick >>= 1) % 2 == 0) {
+      if ((aSelector >>= 1) % 2 == 0) {
         half.insert(address);
       }
     }
     mHalf = half;
-    After(aFor, [this] { mHalf.clear(); });
+    After(aDuration, [this] { mHalf.clear(); });
   }
 
-  void CutHosts(std::uint64_t aPick, Micros aFor)
+  void IsolateFromControl(std::uint64_t aSelector, Micros aDuration)
   {
-    std::mt19937_64 random(aPick);
+    std::mt19937_64 random(aSelector);
     std::set<std::string> hosts;
     for (const std::string& address : Hosts(false, false)) {
       if (!mSimulation.IsControl(address) && random() % 10 < 4) {
@@ -396,7 +399,7 @@
     }
     Log("schedule", "cuts off " + std::to_string(hosts.size()) + " hosts");
     mSimulation.mIsolatedFromControl = hosts;
-    After(aFor, [this, hosts] {
+    After(aDuration, [this, hosts] {
       if (mSimulation.mIsolatedFromControl == hosts) {
         mSimulation.mIsolatedFromControl.clear();
       }
@@ -410,35 +413,35 @@
            mHalf.count(aSent.mFrom) != mHalf.count(aSent.mTo);
   }
 
-  void Freeze(const std::string& aHost, Micros aFor)
+  void Freeze(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "freezes");
     mSimulation.mFrozen.insert(aHost);
-    After(aFor, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
+    After(aDuration, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
   }
 
-  void StallDisk(const std::string& aHost, Micros aFor)
+  void StallDisk(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "has its disk stalled");
     mSimulation.mStalledDisks.insert(aHost);
-    After(aFor, [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
+    After(aDuration, [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
   }
 
   // Three of the control hosts that have not gone for good, running or not:
   // what settings name.
-  std::vector<std::string> ListedControl(std::uint64_t aPick)
+  std::vector<std::string> ListedControl(std::uint64_t aSelector)
   {
     const std::vector<std::string> control = Hosts(true, false);
     std::vector<std::string> seeds;
     for (std::size_t i = 0; i < std::min<std::size_t>(3, control.size()); ++i) {
-      seeds.push_back(control[(aPick + i) % control.size()]);
+      seeds.push_back(control[(aSelector + i) % control.size()]);
     }
     return seeds;
   }
 
-  void ReplaceSeeds(std::uint64_t aPick)
+  void ReplaceSeeds(std::uint64_t aSelector)
   {
-    mSimulation.ReplaceSeeds(ListedControl(aPick));
+    mSimulation.ReplaceSeeds(ListedControl(aSelector));
   }
 
   // --- changes of the policy all along
@@ -506,7 +509,7 @@
 
   void LookForOldReads()
   {
-    if (!mSchedule.mReads) {
+    if (!mSchedule.mReadPolicy) {
       return;
     }
     const std::string fault = mReaders.Look(Hosts(false, true), mAcknowledged);
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -62,14 +62,16 @@
   ProcessOutput(aAddress, output);
 }
 
-void FleetSimulation::StartFleet(int aDisks, int aOthers, int aToleratedLosses)
+void FleetSimulation::StartFleet(int aHostsWithDisk,
+                                 int aHostsWithoutDisk,
+                                 int aToleratedLosses)
 {
   mToleratedLosses = aToleratedLosses;
-  for (int i = 1; i <= std::min(3, aDisks); ++i) {
+  for (int i = 1; i <= std::min(3, aHostsWithDisk); ++i) {
     mSeeds.push_back("10.0.0." + std::to_string(i) + ":1");
   }
-  for (int i = 1; i <= aDisks + aOthers; ++i) {
-    Add("10.0.0." + std::to_string(i) + ":1", i <= aDisks);
+  for (int i = 1; i <= aHostsWithDisk + aHostsWithoutDisk; ++i) {
+    Add("10.0.0." + std::to_string(i) + ":1", i <= aHostsWithDisk);
   }
   for (const std::string& address : Addresses()) {
     Start(address, true);
@@ -77,7 +79,7 @@
 }
 
 void FleetSimulation::StartSpreadFleet(int aDataCentres,
-                                       int aOthers,
+                                       int aHostsWithoutDisk,
                                        int aToleratedLosses)
 {
   mToleratedLosses = aToleratedLosses;
@@ -90,7 +92,7 @@
   for (int i = 0; i < aDataCentres; ++i) {
     Add(control(i), true, "dc" + std::to_string(i));
   }
-  for (int i = 0; i < aOthers; ++i) {
+  for (int i = 0; i < aHostsWithoutDisk; ++i) {
     const int place = i % aDataCentres;
     Add("10.1." + std::to_string(place) + "." + std::to_string(i) + ":1",
         false,
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -78,13 +78,17 @@
   /// \brief Starts a host; a founder has its founding disk made.
   void Start(const std::string& aAddress, bool aFounding);
 
-  /// \brief Adds and starts `aDisks` hosts with a disk and `aOthers` without,
-  /// the first three as seeds.
-  void StartFleet(int aDisks, int aOthers, int aToleratedLosses);
+  /// \brief Adds and starts `aHostsWithDisk` hosts with a disk and
+  /// `aHostsWithoutDisk` without, the first three as seeds.
+  void StartFleet(int aHostsWithDisk,
+                  int aHostsWithoutDisk,
+                  int aToleratedLosses);
 
   /// \brief Adds and starts a host with a disk in each of some data centres and
-  /// `aOthers` without, spread over them; the first three as seeds.
-  void StartSpreadFleet(int aDataCentres, int aOthers, int aToleratedLosses);
+  /// `aHostsWithoutDisk` without, spread over them; the first three as seeds.
+  void StartSpreadFleet(int aDataCentres,
+                        int aHostsWithoutDisk,
+                        int aToleratedLosses);
 
   void Kill(const std::string& aAddress) { mNodes.at(aAddress).mAlive = false; }
   /// \brief Tells a host to stop; it runs on until it is killed.
