--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -37,7 +37,7 @@
 {
   std::cout << "seed " << aSchedule.mSeed << ": " << aFault << "\n";
   const fakes::FleetSchedule smallest = fakes::ShrinkFleetSchedule(aSchedule);
-  std::cout << "smallest: " << fakes::PlayFleetSchedule(smallest) << "\n"
+  std::cout << "smallest: " << fakes::RunFleetSchedule(smallest) << "\n"
             << fakes::Describe(smallest) << std::flush;
   return 1;
 }
@@ -45,10 +45,10 @@
 // What a schedule breaks, if anything, then its steps and all that was logged.
 int Show(const fakes::FleetSchedule& aSchedule)
 {
-  const std::string fault = fakes::PlayFleetSchedule(aSchedule);
+  const std::string fault = fakes::RunFleetSchedule(aSchedule);
   std::cout << (fault.empty() ? "nothing broken" : "broken: " + fault) << "\n"
             << fakes::Describe(aSchedule);
-  (void)fakes::PlayFleetSchedule(aSchedule, &std::cout);
+  (void)fakes::RunFleetSchedule(aSchedule, &std::cout);
   std::cout << std::flush;
   return fault.empty() ? 0 : 1;
 }
@@ -156,7 +156,7 @@
     const std::uint64_t seed = first + played;
     const fakes::FleetSchedule schedule =
       MakeSchedule(seed, options.Number("reads", 0) != 0, *plant);
-    const std::string fault = fakes::PlayFleetSchedule(schedule);
+    const std::string fault = fakes::RunFleetSchedule(schedule);
     if (planted && !fault.empty()) {
       std::cout << "found at seed " << seed << ": " << fault << std::endl;
       return 0;
--- a/tests/fakes/fleet_schedule.cpp
+++ b/tests/fakes/fleet_schedule.cpp
@@ -85,7 +85,7 @@
     for (std::size_t i = 0; i < aSchedule.mSteps.size(); ++i) {
       FleetSchedule part = aSchedule;
       part.mSteps.erase(part.mSteps.begin() + static_cast<std::ptrdiff_t>(i));
-      if (!PlayFleetSchedule(part).empty()) {
+      if (!RunFleetSchedule(part).empty()) {
         aSchedule = std::move(part);
         shorter = true;
         break;
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -96,8 +96,8 @@
 /// \brief Plays a schedule; what was broken, empty when nothing was. Lines that
 /// the hosts log and the steps that are taken go to a stream where one is
 /// given.
-[[nodiscard]] std::string PlayFleetSchedule(const FleetSchedule& aSchedule,
-                                            std::ostream* aLog = nullptr);
+[[nodiscard]] std::string RunFleetSchedule(const FleetSchedule& aSchedule,
+                                           std::ostream* aLog = nullptr);
 
 /// \brief The smallest part of a failing schedule that was found to fail.
 [[nodiscard]] FleetSchedule ShrinkFleetSchedule(FleetSchedule aSchedule);
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -17,21 +17,21 @@
 
 /// A host that was told to stop ends after this time.
 constexpr Micros kStopTime = 4 * kSecond;
-/// After the last fault all hosts serve, what was acknowledged can be read, and
-/// the group tolerates what its settings say within this time: 8 s as promised
-/// for serving, 4 s for a voter that is gone.
+/// RunLater the last fault all hosts serve, what was acknowledged can be read,
+/// and the group tolerates what its settings say within this time: 8 s as
+/// promised for serving, 4 s for a voter that is gone.
 constexpr Micros kSettleTime = 12 * kSecond;
 /// What is promised at any time is looked at in this pace.
-constexpr Micros kLookPause = 20 * kMillisecond;
+constexpr Micros kCheckInterval = 20 * kMillisecond;
 /// Settings name a control host's successor this long after it has gone.
-constexpr Micros kSeedLag = 3 * kSecond;
-constexpr Micros kChangePause = 300 * kMillisecond;
+constexpr Micros kSeedUpdateDelay = 3 * kSecond;
+constexpr Micros kChangeInterval = 300 * kMillisecond;
 /// A change is in force this long after its acknowledgement, at hosts that are
 /// left alone.
-constexpr Micros kInForceWithin = 2 * kSecond;
+constexpr Micros kChangeDeadline = 2 * kSecond;
 
 /// \brief A change of the policy that was sent and has not ended.
-struct SentChange
+struct PendingChange
 {
   std::string mHost;
   std::uint64_t mIncarnation = 0;
@@ -40,10 +40,10 @@
 };
 
 /// \brief Plays one schedule.
-class Player
+class ScheduleRunner
 {
 public:
-  Player(const FleetSchedule& aSchedule, std::ostream* aLog)
+  ScheduleRunner(const FleetSchedule& aSchedule, std::ostream* aLog)
     : mSchedule(aSchedule)
     , mSimulation(aSchedule.mSeed)
     , mCalm(mSimulation, aSchedule.mTolerated)
@@ -52,19 +52,20 @@
   {
   }
 
-  std::string Play()
+  std::string Run()
   {
     mSimulation.mShouldDrop = [this](const SentMessage& aSent) {
       return IsBetweenHalves(aSent);
     };
-    const bool heedless = mSchedule.mDefect == FleetDefect::ToleratesNoLoss;
+    const bool toleratesNoLoss =
+      mSchedule.mDefect == FleetDefect::ToleratesNoLoss;
     mSimulation.mLosesSyncedWrites =
       mSchedule.mDefect == FleetDefect::LosesSyncedWrites;
     mSimulation.mForgesLeaderChecks =
       mSchedule.mDefect == FleetDefect::TrustsUnconfirmedLeader;
     mSimulation.StartFleet(mSchedule.mHostsWithDisk,
                            mSchedule.mHostsWithoutDisk,
-                           heedless ? 0 : mSchedule.mTolerated);
+                           toleratesNoLoss ? 0 : mSchedule.mTolerated);
     const auto disks = static_cast<std::size_t>(mSchedule.mHostsWithDisk);
     if (!mSimulation.RunUntil(10 * kSecond,
                               [&] { return mSimulation.Voters() == disks; })) {
@@ -74,8 +75,8 @@
     mSimulation.Advance(kSecond);
     for (const FleetStep& step : mSchedule.mSteps) {
       Log("schedule", ToString(step.mFault));
-      Take(step);
-      Pass(step.mPause);
+      RunStep(step);
+      Advance(step.mPause);
       if (!mFault.empty()) {
         return mFault;
       }
@@ -92,26 +93,27 @@
 
   // --- time
 
-  void Pass(Micros aTime)
+  void Advance(Micros aTime)
   {
     const Micros end = mSimulation.mNow + aTime;
     while (mSimulation.mNow < end && mFault.empty()) {
-      while (!mLater.empty() && mLater.begin()->first <= mSimulation.mNow) {
-        const std::function<void()> action = mLater.begin()->second;
-        mLater.erase(mLater.begin());
+      while (!mScheduledActions.empty() &&
+             mScheduledActions.begin()->first <= mSimulation.mNow) {
+        const std::function<void()> action = mScheduledActions.begin()->second;
+        mScheduledActions.erase(mScheduledActions.begin());
         action();
       }
       ChangePolicy();
-      mSimulation.Advance(kLookPause);
-      TakeEnds();
+      mSimulation.Advance(kCheckInterval);
+      CollectChangeOutcome();
       LogNotes();
-      Look();
+      CheckInvariants();
     }
   }
 
-  void After(Micros aTime, std::function<void()> aAction)
+  void RunLater(Micros aTime, std::function<void()> aAction)
   {
-    mLater.emplace(mSimulation.mNow + aTime, std::move(aAction));
+    mScheduledActions.emplace(mSimulation.mNow + aTime, std::move(aAction));
   }
 
   void Log(const std::string& aWho, const std::string& aWhat)
@@ -149,32 +151,33 @@
   }
 
   // A running control host that is not about to go.
-  std::string PickControl(std::uint64_t aSelector)
+  std::string SelectControlHost(std::uint64_t aSelector)
   {
     std::vector<std::string> hosts = Hosts(true, true);
     hosts.erase(std::remove_if(hosts.begin(),
                                hosts.end(),
                                [&](const std::string& aHost) {
-                                 return mBusy.count(aHost) != 0;
+                                 return mHostsInUse.count(aHost) != 0;
                                }),
                 hosts.end());
     return hosts.empty() ? "" : hosts[aSelector % hosts.size()];
   }
 
-  void StartAgain(const std::string& aAddress)
+  void StartIfDown(const std::string& aAddress)
   {
-    mBusy.erase(aAddress);
+    mHostsInUse.erase(aAddress);
     if (mRemoved.count(aAddress) == 0 && !Node(aAddress).mAlive) {
       Log(aAddress, "starts");
       mSimulation.Start(aAddress, false);
-      mVersions.erase(aAddress);
+      mLastSeenVersions.erase(aAddress);
     }
   }
 
-  void AddControl()
+  void AddControlHost()
   {
-    mSimulation.SetSeeds(ListedControl(mNewcomers));
-    const std::string address = "10.0.1." + std::to_string(++mNewcomers) + ":1";
+    mSimulation.SetSeeds(SeedsFromControlHosts(mHostsAdded));
+    const std::string address =
+      "10.0.1." + std::to_string(++mHostsAdded) + ":1";
     mSimulation.Add(address, true);
     mSimulation.Start(address, false);
   }
@@ -183,15 +186,15 @@
 
   // Voters whose disk is gone, as the leader counts them; nothing is known
   // without a leader that has committed its members.
-  int DisksMissing()
+  int MissingDisks()
   {
     const std::string leader = mSimulation.Leader();
     if (leader.empty()) {
-      return mDisksLost;
+      return mMissingDisks;
     }
     const consensus::State& group = Node(leader).mState.mGroup;
     if (group.mCommit < std::max(group.mMembershipIndex, group.mTermStart)) {
-      return mDisksLost;
+      return mMissingDisks;
     }
     const int least = 2 * mSchedule.mTolerated + 1;
     int missing = std::max(0, least - static_cast<int>(mSimulation.Voters()));
@@ -201,50 +204,54 @@
         Node(member.address()).mDisk.mHard.storage() == member.storage();
       missing += member.voter() && !there ? 1 : 0;
     }
-    mDisksLost = missing;
+    mMissingDisks = missing;
     return missing;
   }
 
-  bool MayLoseDisk() { return DisksMissing() < mSchedule.mTolerated; }
+  bool CanLoseDisk() { return MissingDisks() < mSchedule.mTolerated; }
 
   // --- steps
 
-  void Take(const FleetStep& aStep)
+  void RunStep(const FleetStep& aStep)
   {
     switch (aStep.mFault) {
       case FleetFault::Restart:
-        Restart(PickControl(aStep.mSelector), aStep.mDuration);
+        Restart(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplacePlanned:
-        ReplacePlanned(PickControl(aStep.mSelector), aStep.mDuration);
+        ReplacePlanned(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplaceLost:
-        ReplaceLost(PickControl(aStep.mSelector), aStep.mDuration);
+        ReplaceLost(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::LoseDisk:
-        Down(PickControl(aStep.mSelector), aStep.mDuration, true, true);
+        TakeDown(
+          SelectControlHost(aStep.mSelector), aStep.mDuration, true, true);
         break;
       case FleetFault::Kill: {
         const std::vector<std::string> hosts = Hosts(false, true);
         if (!hosts.empty()) {
           const std::string& host = hosts[aStep.mSelector % hosts.size()];
-          Down(
-            mBusy.count(host) == 0 ? host : "", aStep.mDuration, false, false);
+          TakeDown(mHostsInUse.count(host) == 0 ? host : "",
+                   aStep.mDuration,
+                   false,
+                   false);
         }
         break;
       }
       case FleetFault::LosePower:
-        Down(PickControl(aStep.mSelector), aStep.mDuration, true, false);
+        TakeDown(
+          SelectControlHost(aStep.mSelector), aStep.mDuration, true, false);
         break;
       case FleetFault::LoseAllPower:
         LoseAllPower(aStep.mDuration, "");
         break;
       case FleetFault::LoseAllPowerAndOneDisk:
         LoseAllPower(aStep.mDuration,
-                     MayLoseDisk() ? PickControl(aStep.mSelector) : "");
+                     CanLoseDisk() ? SelectControlHost(aStep.mSelector) : "");
         break;
       case FleetFault::IsolateHost:
-        IsolateHost(PickControl(aStep.mSelector), aStep.mDuration);
+        IsolateHost(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::SplitControlHosts:
         SplitControlHosts(aStep.mSelector, aStep.mDuration);
@@ -253,10 +260,10 @@
         IsolateFromControl(aStep.mSelector, aStep.mDuration);
         break;
       case FleetFault::Freeze:
-        Freeze(PickControl(aStep.mSelector), aStep.mDuration);
+        Freeze(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::StallDisk:
-        StallDisk(PickControl(aStep.mSelector), aStep.mDuration);
+        StallDisk(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::ReplaceSeeds:
         ReplaceSeeds(aStep.mSelector);
@@ -273,28 +280,28 @@
       return;
     }
     Log(aHost, "is told to stop");
-    mBusy.insert(aHost);
+    mHostsInUse.insert(aHost);
     mSimulation.Stop(aHost);
-    After(kStopTime, [this, aHost, aDuration] {
+    RunLater(kStopTime, [this, aHost, aDuration] {
       mSimulation.Kill(aHost);
-      After(aDuration, [this, aHost] { StartAgain(aHost); });
+      RunLater(aDuration, [this, aHost] { StartIfDown(aHost); });
     });
   }
 
   // The last step waits while its disk is still needed.
-  void Remove(const std::string& aHost)
+  void RemoveForGood(const std::string& aHost)
   {
     const bool voter = IsVoter(aHost);
-    if (voter && !MayLoseDisk()) {
-      After(kSecond, [this, aHost] { Remove(aHost); });
+    if (voter && !CanLoseDisk()) {
+      RunLater(kSecond, [this, aHost] { RemoveForGood(aHost); });
       return;
     }
-    mDisksLost += voter ? 1 : 0;
+    mMissingDisks += voter ? 1 : 0;
     Log(aHost, "goes for good");
     mSimulation.Kill(aHost);
     mRemoved.insert(aHost);
-    mBusy.erase(aHost);
-    After(kSeedLag, [this] { ReplaceSeeds(0); });
+    mHostsInUse.erase(aHost);
+    RunLater(kSeedUpdateDelay, [this] { ReplaceSeeds(0); });
   }
 
   bool IsVoter(const std::string& aHost)
@@ -309,62 +316,65 @@
     if (aHost.empty()) {
       return;
     }
-    mBusy.insert(aHost);
-    AddControl();
-    After(std::max(kSecond, aDuration), [this, aHost] {
+    mHostsInUse.insert(aHost);
+    AddControlHost();
+    RunLater(std::max(kSecond, aDuration), [this, aHost] {
       if (Node(aHost).mAlive) {
         Log(aHost, "is told to stop");
         mSimulation.Stop(aHost);
       }
-      After(kStopTime, [this, aHost] { Remove(aHost); });
+      RunLater(kStopTime, [this, aHost] { RemoveForGood(aHost); });
     });
   }
 
   void ReplaceLost(const std::string& aHost, Micros aDuration)
   {
-    if (aHost.empty() || !MayLoseDisk()) {
+    if (aHost.empty() || !CanLoseDisk()) {
       return;
     }
-    ++mDisksLost;
+    ++mMissingDisks;
     Log(aHost, "goes for good");
     mSimulation.LosePower(aHost);
     mRemoved.insert(aHost);
     mCalm.LoseForGood();
-    After(aDuration, [this] {
-      AddControl();
+    RunLater(aDuration, [this] {
+      AddControlHost();
       mCalm.Replace();
     });
-    After(kSeedLag, [this] { ReplaceSeeds(0); });
+    RunLater(kSeedUpdateDelay, [this] { ReplaceSeeds(0); });
   }
 
-  void Down(const std::string& aHost, Micros aDuration, bool aPower, bool aDisk)
+  void TakeDown(const std::string& aHost,
+                Micros aDuration,
+                bool aPower,
+                bool aDisk)
   {
-    if (aHost.empty() || (aDisk && !MayLoseDisk())) {
+    if (aHost.empty() || (aDisk && !CanLoseDisk())) {
       return;
     }
     Log(aHost, aDisk ? "loses its disk" : "goes down");
-    mBusy.insert(aHost);
+    mHostsInUse.insert(aHost);
     if (aPower) {
       mSimulation.LosePower(aHost);
     } else {
       mSimulation.Kill(aHost);
     }
     if (aDisk) {
-      ++mDisksLost;
+      ++mMissingDisks;
       mSimulation.Wipe(aHost);
     }
-    After(aDuration, [this, aHost] { StartAgain(aHost); });
+    RunLater(aDuration, [this, aHost] { StartIfDown(aHost); });
   }
 
   void LoseAllPower(Micros aDuration, const std::string& aWiped)
   {
     for (const std::string& address : Hosts(false, true)) {
       mSimulation.LosePower(address);
-      After(aDuration, [this, address] { StartAgain(address); });
+      RunLater(aDuration, [this, address] { StartIfDown(address); });
     }
     if (!aWiped.empty()) {
       Log(aWiped, "loses its disk");
-      ++mDisksLost;
+      ++mMissingDisks;
       mSimulation.Wipe(aWiped);
     }
   }
@@ -373,7 +383,7 @@
   {
     Log(aHost, "is cut off");
     mSimulation.mIsolated.insert(aHost);
-    After(aDuration, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
+    RunLater(aDuration, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
   }
 
   void SplitControlHosts(std::uint64_t aSelector, Micros aDuration)
@@ -384,8 +394,8 @@
         half.insert(address);
       }
     }
-    mHalf = half;
-    After(aDuration, [this] { mHalf.clear(); });
+    mPartitionedHalf = half;
+    RunLater(aDuration, [this] { mPartitionedHalf.clear(); });
   }
 
   void IsolateFromControl(std::uint64_t aSelector, Micros aDuration)
@@ -399,7 +409,7 @@
     }
     Log("schedule", "cuts off " + std::to_string(hosts.size()) + " hosts");
     mSimulation.mIsolatedFromControl = hosts;
-    After(aDuration, [this, hosts] {
+    RunLater(aDuration, [this, hosts] {
       if (mSimulation.mIsolatedFromControl == hosts) {
         mSimulation.mIsolatedFromControl.clear();
       }
@@ -410,26 +420,28 @@
   {
     return mSimulation.IsControl(aSent.mFrom) &&
            mSimulation.IsControl(aSent.mTo) &&
-           mHalf.count(aSent.mFrom) != mHalf.count(aSent.mTo);
+           mPartitionedHalf.count(aSent.mFrom) !=
+             mPartitionedHalf.count(aSent.mTo);
   }
 
   void Freeze(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "freezes");
     mSimulation.mFrozen.insert(aHost);
-    After(aDuration, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
+    RunLater(aDuration, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
   }
 
   void StallDisk(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "has its disk stalled");
     mSimulation.mStalledDisks.insert(aHost);
-    After(aDuration, [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
+    RunLater(aDuration,
+             [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
   }
 
   // Three of the control hosts that have not gone for good, running or not:
   // what settings name.
-  std::vector<std::string> ListedControl(std::uint64_t aSelector)
+  std::vector<std::string> SeedsFromControlHosts(std::uint64_t aSelector)
   {
     const std::vector<std::string> control = Hosts(true, false);
     std::vector<std::string> seeds;
@@ -441,22 +453,22 @@
 
   void ReplaceSeeds(std::uint64_t aSelector)
   {
-    mSimulation.ReplaceSeeds(ListedControl(aSelector));
+    mSimulation.ReplaceSeeds(SeedsFromControlHosts(aSelector));
   }
 
   // --- changes of the policy all along
 
   void ChangePolicy()
   {
-    if (mSent || mSimulation.mNow < mChangeAt) {
+    if (mPendingChange || mSimulation.mNow < mNextChangeAt) {
       return;
     }
-    mChangeAt = mSimulation.mNow + kChangePause;
+    mNextChangeAt = mSimulation.mNow + kChangeInterval;
     const std::vector<std::string> hosts = Hosts(false, true);
     if (hosts.empty()) {
       return;
     }
-    const std::string& host = hosts[++mTurn % hosts.size()];
+    const std::string& host = hosts[++mNextHost % hosts.size()];
     if (mSimulation.mFrozen.count(host) != 0) {
       return;
     }
@@ -464,50 +476,51 @@
     const std::uint64_t version = ++mLastVersion;
     const std::uint64_t id = mSimulation.Submit(
       host, PutPolicyCommand(version, base, std::to_string(version)));
-    mSent = { host, Node(host).mSettings.mIncarnation, id, version };
+    mPendingChange = { host, Node(host).mSettings.mIncarnation, id, version };
   }
 
-  void TakeEnds()
+  void CollectChangeOutcome()
   {
-    if (!mSent) {
+    if (!mPendingChange) {
       return;
     }
-    const FleetNode& node = Node(mSent->mHost);
-    if (!node.mAlive || node.mSettings.mIncarnation != mSent->mIncarnation) {
-      mSent.reset();
+    const FleetNode& node = Node(mPendingChange->mHost);
+    if (!node.mAlive ||
+        node.mSettings.mIncarnation != mPendingChange->mIncarnation) {
+      mPendingChange.reset();
       return;
     }
-    const auto done = node.mDone.find(mSent->mId);
+    const auto done = node.mDone.find(mPendingChange->mId);
     if (done == node.mDone.end()) {
       return;
     }
     const fleet::Done& end = done->second;
     if (end.mEnd == fleet::SubmitEnd::Committed && end.mOutcome.accepted()) {
-      mAcknowledged = std::max(mAcknowledged, mSent->mVersion);
+      mAcknowledged = std::max(mAcknowledged, mPendingChange->mVersion);
       mAcknowledgedAt.emplace(mAcknowledged, mSimulation.mNow);
     }
-    mSent.reset();
+    mPendingChange.reset();
   }
 
   // --- checks
 
   // A host's version never goes back within one life of its process.
-  void Look()
+  void CheckInvariants()
   {
     for (const std::string& address : Hosts(false, true)) {
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
-      std::uint64_t& known = mVersions[address];
+      std::uint64_t& known = mLastSeenVersions[address];
       if (version < known) {
         mFault = address + " went back from version " + std::to_string(known) +
                  " to " + std::to_string(version);
       }
       known = version;
     }
-    LookForOldPolicies();
-    LookForOldReads();
+    CheckAppliedVersions();
+    CheckReads();
   }
 
-  void LookForOldReads()
+  void CheckReads()
   {
     if (!mSchedule.mReadPolicy) {
       return;
@@ -516,18 +529,18 @@
     mFault = mFault.empty() ? fault : mFault;
   }
 
-  void LookForOldPolicies()
+  void CheckAppliedVersions()
   {
     std::uint64_t wanted = 0;
     for (const auto& [version, at] : mAcknowledgedAt) {
-      wanted = mSimulation.mNow - at > kInForceWithin ? version : wanted;
+      wanted = mSimulation.mNow - at > kChangeDeadline ? version : wanted;
     }
     mAcknowledgedAt.erase(mAcknowledgedAt.begin(),
                           mAcknowledgedAt.lower_bound(wanted));
-    const std::string cuts = mHalf.empty() ? "" : "halves";
+    const std::string cuts = mPartitionedHalf.empty() ? "" : "halves";
     const bool calm = mCalm.IsGroupCalm(Hosts(true, false), cuts);
     for (const std::string& address : Hosts(false, true)) {
-      const bool must = mCalm.IsCalm(address) && !IsBeyondReach(address);
+      const bool must = mCalm.IsCalm(address) && !CannotRejoin(address);
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
       if (calm && must && version < wanted) {
         mFault =
@@ -544,20 +557,21 @@
   {
     Log("schedule", "faults end");
     mSimulation.mIsolated.clear();
-    mHalf.clear();
+    mPartitionedHalf.clear();
     mSimulation.mIsolatedFromControl.clear();
     mSimulation.mFrozen.clear();
     mSimulation.mStalledDisks.clear();
     // Stops and starts that are under way come to their end.
     const Micros end = mSimulation.mNow + kStopTime + 3 * kSecond;
-    while (!mLater.empty() && mSimulation.mNow < end && mFault.empty()) {
-      Pass(kLookPause);
+    while (!mScheduledActions.empty() && mSimulation.mNow < end &&
+           mFault.empty()) {
+      Advance(kCheckInterval);
     }
   }
 
   // The one case that decisions/0007 leaves out: every seed that the host was
   // started with has gone for good, and it has known no other one since.
-  bool IsBeyondReach(const std::string& aAddress)
+  bool CannotRejoin(const std::string& aAddress)
   {
     const State& state = Node(aAddress).mState;
     const std::vector<std::string>& seeds = state.mSettings.mSeeds;
@@ -567,7 +581,7 @@
            });
   }
 
-  std::string Missing()
+  std::string UnmetExpectation()
   {
     const std::string leader = mSimulation.Leader();
     if (leader.empty()) {
@@ -575,7 +589,7 @@
     }
     for (const std::string& address : Hosts(false, true)) {
       const State& state = Node(address).mState;
-      if (IsBeyondReach(address)) {
+      if (CannotRejoin(address)) {
         continue;
       }
       if (!fleet::IsInTouch(state, mSimulation.mNow) && !state.mStopping) {
@@ -601,10 +615,10 @@
   {
     EndFaults();
     const Micros end = mSimulation.mNow + kSettleTime;
-    std::string missing = Missing();
+    std::string missing = UnmetExpectation();
     while (!missing.empty() && mSimulation.mNow < end && mFault.empty()) {
-      Pass(kLookPause);
-      missing = Missing();
+      Advance(kCheckInterval);
+      missing = UnmetExpectation();
     }
     if (mFault.empty() && !missing.empty()) {
       mFault = missing;
@@ -617,30 +631,29 @@
   PolicyReaders mReaders;
   std::ostream* mLog = nullptr;
   std::string mFault;
-  std::multimap<Micros, std::function<void()>> mLater;
+  std::multimap<Micros, std::function<void()>> mScheduledActions;
   std::set<std::string> mRemoved;
   /// Hosts that a step has in hand.
-  std::set<std::string> mBusy;
+  std::set<std::string> mHostsInUse;
   /// Control hosts of one half, while they are cut in two.
-  std::set<std::string> mHalf;
+  std::set<std::string> mPartitionedHalf;
   std::map<std::uint64_t, Micros> mAcknowledgedAt;
-  int mNewcomers = 0;
-  int mDisksLost = 0;
+  int mHostsAdded = 0;
+  int mMissingDisks = 0;
 
-  std::optional<SentChange> mSent;
-  Micros mChangeAt = 0;
-  std::size_t mTurn = 0;
+  std::optional<PendingChange> mPendingChange;
+  Micros mNextChangeAt = 0;
+  std::size_t mNextHost = 0;
   std::uint64_t mLastVersion = 0;
   std::uint64_t mAcknowledged = 0;
-  std::map<std::string, std::uint64_t> mVersions;
+  std::map<std::string, std::uint64_t> mLastSeenVersions;
 };
 
 } // namespace
 
-std::string PlayFleetSchedule(const FleetSchedule& aSchedule,
-                              std::ostream* aLog)
+std::string RunFleetSchedule(const FleetSchedule& aSchedule, std::ostream* aLog)
 {
-  return Player(aSchedule, aLog).Play();
+  return ScheduleRunner(aSchedule, aLog).Run();
 }
 
 } // namespace geraniumpond::fakes
--- a/tests/fleet_schedules_test.cpp
+++ b/tests/fleet_schedules_test.cpp
@@ -28,7 +28,7 @@
                              static_cast<bool>(schedule));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(entry.path().string(),
                                    std::string(),
-                                   PlayFleetSchedule(schedule.value()));
+                                   RunFleetSchedule(schedule.value()));
       ++played;
     }
     CPPUNIT_ASSERT(played > 0);
