--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -46,7 +46,7 @@
   ScheduleRunner(const FleetSchedule& aSchedule, std::ostream* aLog)
     : mSchedule(aSchedule)
     , mSimulation(aSchedule.mSeed)
-    , mCalm(mSimulation, aSchedule.mTolerated)
+    , mStability(mSimulation, aSchedule.mTolerated)
     , mReaders(mSimulation, aSchedule.mSeed)
     , mLog(aLog)
   {
@@ -336,10 +336,10 @@
     Log(aHost, "goes for good");
     mSimulation.LosePower(aHost);
     mRemoved.insert(aHost);
-    mCalm.LoseForGood();
+    mStability.RecordPermanentLoss();
     RunLater(aDuration, [this] {
       AddControlHost();
-      mCalm.Replace();
+      mStability.RecordReplacement();
     });
     RunLater(kSeedUpdateDelay, [this] { ReplaceSeeds(0); });
   }
@@ -538,9 +538,10 @@
     mAcknowledgedAt.erase(mAcknowledgedAt.begin(),
                           mAcknowledgedAt.lower_bound(wanted));
     const std::string cuts = mPartitionedHalf.empty() ? "" : "halves";
-    const bool calm = mCalm.IsGroupCalm(Hosts(true, false), cuts);
+    const bool calm = mStability.IsGroupStable(Hosts(true, false), cuts);
     for (const std::string& address : Hosts(false, true)) {
-      const bool must = mCalm.IsCalm(address) && !CannotRejoin(address);
+      const bool must =
+        mStability.IsHostStable(address) && !CannotRejoin(address);
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
       if (calm && must && version < wanted) {
         mFault =
@@ -627,7 +628,7 @@
 
   const FleetSchedule& mSchedule;
   FleetSimulation mSimulation;
-  FleetCalm mCalm;
+  FleetStability mStability;
   PolicyReaders mReaders;
   std::ostream* mLog = nullptr;
   std::string mFault;
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -7,25 +7,25 @@
 namespace {
 
 /// Time in which hosts that were left alone hear of each other.
-constexpr Micros kContact = 3 * kSecond;
+constexpr Micros kContactTime = 3 * kSecond;
 /// Time in which a control host that is back, or new, has caught up.
-constexpr Micros kCatchUp = 4 * kSecond;
+constexpr Micros kCatchUpTime = 4 * kSecond;
 
 } // namespace
 
-FleetCalm::FleetCalm(FleetSimulation& aSimulation, int aTolerated)
+FleetStability::FleetStability(FleetSimulation& aSimulation, int aTolerated)
   : mSimulation(aSimulation)
   , mTolerated(aTolerated)
 {
 }
 
-void FleetCalm::Replace()
+void FleetStability::RecordReplacement()
 {
   mUnreplaced = std::max(0, mUnreplaced - 1);
   mReplacedAt.push_back(mSimulation.mNow);
 }
 
-std::string FleetCalm::ConditionOf(const std::string& aAddress) const
+std::string FleetStability::ConditionOf(const std::string& aAddress) const
 {
   const FleetNode& node = mSimulation.At(aAddress);
   return std::to_string(node.mAlive ? node.mSettings.mIncarnation : 0) +
@@ -38,7 +38,7 @@
             : "");
 }
 
-bool FleetCalm::IsThere(const std::string& aAddress) const
+bool FleetStability::IsReachable(const std::string& aAddress) const
 {
   return mSimulation.At(aAddress).mAlive &&
          mSimulation.mIsolated.count(aAddress) == 0 &&
@@ -46,7 +46,8 @@
          mSimulation.mStalledDisks.count(aAddress) == 0;
 }
 
-Micros FleetCalm::Since(const std::string& aWho, const std::string& aCondition)
+Micros FleetStability::UnchangedSince(const std::string& aWho,
+                                      const std::string& aCondition)
 {
   Condition& known = mConditions[aWho];
   if (known.mText != aCondition) {
@@ -55,37 +56,37 @@
   return known.mSince;
 }
 
-bool FleetCalm::IsCalm(const std::string& aAddress)
+bool FleetStability::IsHostStable(const std::string& aAddress)
 {
-  const Micros since = Since(aAddress, ConditionOf(aAddress));
-  return mSimulation.mNow - since > kContact &&
+  const Micros since = UnchangedSince(aAddress, ConditionOf(aAddress));
+  return mSimulation.mNow - since > kContactTime &&
          !mSimulation.At(aAddress).mState.mStopping &&
          mSimulation.mIsolatedFromControl.count(aAddress) == 0 &&
-         IsThere(aAddress);
+         IsReachable(aAddress);
 }
 
-bool FleetCalm::IsLost(const std::string& aAddress)
+bool FleetStability::IsCountedAsLost(const std::string& aAddress)
 {
-  const Micros since = Since(aAddress, ConditionOf(aAddress));
-  return !IsThere(aAddress) || mSimulation.mNow - since < kCatchUp;
+  const Micros since = UnchangedSince(aAddress, ConditionOf(aAddress));
+  return !IsReachable(aAddress) || mSimulation.mNow - since < kCatchUpTime;
 }
 
-bool FleetCalm::IsGroupCalm(const std::vector<std::string>& aControl,
-                            const std::string& aCuts)
+bool FleetStability::IsGroupStable(const std::vector<std::string>& aControl,
+                                   const std::string& aCuts)
 {
   std::string all = aCuts;
   int lost = mUnreplaced;
   for (const std::string& address : aControl) {
     all += ConditionOf(address) + ";";
-    lost += IsLost(address) ? 1 : 0;
+    lost += IsCountedAsLost(address) ? 1 : 0;
   }
   lost += static_cast<int>(
     std::count_if(mReplacedAt.begin(), mReplacedAt.end(), [this](Micros aAt) {
-      return mSimulation.mNow - aAt < kCatchUp;
+      return mSimulation.mNow - aAt < kCatchUpTime;
     }));
-  const Micros since = Since("group", all);
+  const Micros since = UnchangedSince("group", all);
   return aCuts.empty() && lost <= mTolerated &&
-         mSimulation.mNow - since > kContact;
+         mSimulation.mNow - since > kContactTime;
 }
 
 } // namespace geraniumpond::fakes
