--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -525,7 +525,7 @@
     if (!mSchedule.mReadPolicy) {
       return;
     }
-    const std::string fault = mReaders.Look(Hosts(false, true), mAcknowledged);
+    const std::string fault = mReaders.Poll(Hosts(false, true), mAcknowledged);
     mFault = mFault.empty() ? fault : mFault;
   }
 
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Micros kReadPause = 100 * kMillisecond;
+constexpr Micros kReadInterval = 100 * kMillisecond;
 
 } // namespace
 
@@ -23,10 +23,10 @@
   const std::uint64_t id = mSimulation.Submit(aHost, read);
   const std::uint64_t incarnation =
     mSimulation.Node(aHost).mSettings.mIncarnation;
-  mSent.push_back({ aHost, incarnation, id, aAcknowledged });
+  mPendingReads.push_back({ aHost, incarnation, id, aAcknowledged });
 }
 
-bool PolicyReaders::TakeEnd(const SentRead& aRead, std::string& aFault)
+bool PolicyReaders::CheckAnswer(const PendingRead& aRead, std::string& aFault)
 {
   const FleetNode& node = mSimulation.Node(aRead.mHost);
   if (!node.mAlive || node.mSettings.mIncarnation != aRead.mIncarnation) {
@@ -41,25 +41,26 @@
   }
   ++mAnswered;
   const std::uint64_t version = done->second.mOutcome.version();
-  if (version < aRead.mLeast) {
+  if (version < aRead.mMinVersion) {
     aFault = aRead.mHost + " answers a read with version " +
-             std::to_string(version) + ", " + std::to_string(aRead.mLeast) +
-             " was acknowledged before";
+             std::to_string(version) + ", " +
+             std::to_string(aRead.mMinVersion) + " was acknowledged before";
   }
   return true;
 }
 
-std::string PolicyReaders::Look(const std::vector<std::string>& aHosts,
+std::string PolicyReaders::Poll(const std::vector<std::string>& aHosts,
                                 std::uint64_t aAcknowledged)
 {
   std::string fault;
-  mSent.erase(std::remove_if(
-                mSent.begin(),
-                mSent.end(),
-                [&](const SentRead& aRead) { return TakeEnd(aRead, fault); }),
-              mSent.end());
+  mPendingReads.erase(std::remove_if(mPendingReads.begin(),
+                                     mPendingReads.end(),
+                                     [&](const PendingRead& aRead) {
+                                       return CheckAnswer(aRead, fault);
+                                     }),
+                      mPendingReads.end());
   if (mSimulation.mNow >= mNextAt && !aHosts.empty()) {
-    mNextAt = mSimulation.mNow + kReadPause;
+    mNextAt = mSimulation.mNow + kReadInterval;
     const std::string& host = aHosts[mRandom() % aHosts.size()];
     if (mSimulation.mFrozen.count(host) == 0) {
       Send(host, aAcknowledged);
