--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 using geraniumpond::kMillisecond;
-using geraniumpond::fakes::ChangeCase;
-using geraniumpond::fakes::ChangeTimes;
-using geraniumpond::fakes::HostTrouble;
+using geraniumpond::fakes::ChangeMeasurement;
+using geraniumpond::fakes::ChangeScenario;
+using geraniumpond::fakes::HostFault;
 
-constexpr HostTrouble kTroubles[] = { HostTrouble::None,
-                                      HostTrouble::IsolatedFromControl,
-                                      HostTrouble::Frozen,
-                                      HostTrouble::LosePower };
+constexpr HostFault kFaults[] = { HostFault::None,
+                                  HostFault::IsolatedFromControl,
+                                  HostFault::Frozen,
+                                  HostFault::LosePower };
 constexpr int kPercents[] = { 0, 40 };
 
 } // namespace
@@ -27,24 +27,24 @@
 {
   const auto options = geraniumpond::fakes::ParseOptions(aCount, aWords);
   const int changes = static_cast<int>(options.Number("changes", 10));
-  ChangeCase one;
-  one.mHostsWithoutDisk = static_cast<int>(options.Number("hosts", 94));
-  one.mDataCentres = static_cast<int>(options.Number("data-centres", 3));
+  ChangeScenario scenario;
+  scenario.mHostsWithoutDisk = static_cast<int>(options.Number("hosts", 94));
+  scenario.mDataCentres = static_cast<int>(options.Number("data-centres", 3));
   std::printf("hosts  levels  trouble                 of hosts  slowest ms  "
               "questions a change\n");
-  for (const HostTrouble trouble : kTroubles) {
+  for (const HostFault fault : kFaults) {
     for (const int percent : kPercents) {
-      one.mTrouble = trouble;
-      one.mPercent = percent;
-      const ChangeTimes times =
-        geraniumpond::fakes::MeasureChanges(one, changes, 36);
+      scenario.mFault = fault;
+      scenario.mPercent = percent;
+      const ChangeMeasurement times =
+        geraniumpond::fakes::MeasureChanges(scenario, changes, 36);
       std::printf("%5d  %6d  %-22s  %7s  %10lld  %8.1f\n",
-                  one.mHostsWithoutDisk,
-                  times.mLevels,
-                  ToString(trouble),
+                  scenario.mHostsWithoutDisk,
+                  times.mTreeDepth,
+                  ToString(fault),
                   percent == 0 ? "one" : "40 %",
                   static_cast<long long>(times.mSlowest / kMillisecond),
-                  static_cast<double>(times.mQuestions) / changes);
+                  static_cast<double>(times.mGroupStatusQueries) / changes);
     }
   }
   return 0;
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -9,58 +9,58 @@
 
 namespace {
 
-constexpr std::array<const char*, 4> kTroubleNames = {
+constexpr std::array<const char*, 4> kFaultNames = {
   "none",
   "cut from control hosts",
   "frozen",
   "power lost",
 };
 /// The tree has its shape by then.
-constexpr Micros kSettled = 10 * kSecond;
-constexpr Micros kMostWait = 4 * kSecond;
+constexpr Micros kSettleTime = 10 * kSecond;
+constexpr Micros kMaxWait = 4 * kSecond;
 
 class Measurement
 {
 public:
-  Measurement(const ChangeCase& aCase, std::uint64_t aSeed)
-    : mCase(aCase)
+  Measurement(const ChangeScenario& aScenario, std::uint64_t aSeed)
+    : mScenario(aScenario)
     , mSimulation(aSeed)
     , mRandom(aSeed)
   {
-    mSimulation.StartSpreadFleet(mCase.mDataCentres,
-                                 mCase.mHostsWithoutDisk,
-                                 (mCase.mDataCentres - 1) / 2);
-    const auto voters = static_cast<std::size_t>(mCase.mDataCentres);
-    if (!mSimulation.RunUntil(kSettled,
+    mSimulation.StartSpreadFleet(mScenario.mDataCentres,
+                                 mScenario.mHostsWithoutDisk,
+                                 (mScenario.mDataCentres - 1) / 2);
+    const auto voters = static_cast<std::size_t>(mScenario.mDataCentres);
+    if (!mSimulation.RunUntil(kSettleTime,
                               [&] { return mSimulation.Voters() == voters; })) {
       throw std::runtime_error("no group was founded");
     }
     Change();
-    mSimulation.Advance(kSettled);
+    mSimulation.Advance(kSettleTime);
   }
 
-  ChangeTimes Take(int aChanges)
+  ChangeMeasurement Run(int aChanges)
   {
-    ChangeTimes times;
+    ChangeMeasurement times;
     for (int i = 0; i < aChanges; ++i) {
       mSimulation.Advance(static_cast<Micros>(mRandom() % kSecond));
       const bool before = mRandom() % 2 == 0;
-      const std::set<std::string> hosts = Choose();
+      const std::set<std::string> hosts = ChooseHosts();
       if (before) {
-        Begin(hosts);
+        BeginFault(hosts);
       }
       const Micros acknowledgedAt = Change();
       if (!before) {
-        Begin(hosts);
+        BeginFault(hosts);
       }
       WaitForChange(hosts);
       times.mSlowest =
         std::max(times.mSlowest, mSimulation.mNow - acknowledgedAt);
-      times.mLevels = std::max(times.mLevels, Levels());
-      End(hosts);
-      mSimulation.Advance(kSettled);
+      times.mTreeDepth = std::max(times.mTreeDepth, TreeDepth());
+      EndFault(hosts);
+      mSimulation.Advance(kSettleTime);
     }
-    times.mQuestions = mSimulation.GroupStatusQueries();
+    times.mGroupStatusQueries = mSimulation.GroupStatusQueries();
     return times;
   }
 
@@ -77,7 +77,7 @@
     return mSimulation.mNow;
   }
 
-  std::set<std::string> Choose()
+  std::set<std::string> ChooseHosts()
   {
     std::set<std::string> chosen;
     for (const std::string& address : mSimulation.Addresses()) {
@@ -86,8 +86,8 @@
         continue;
       }
       const bool relay =
-        mCase.mPercent == 0 && chosen.empty() && !state.mFollowers.empty();
-      const bool drawn = static_cast<int>(mRandom() % 100) < mCase.mPercent;
+        mScenario.mPercent == 0 && chosen.empty() && !state.mFollowers.empty();
+      const bool drawn = static_cast<int>(mRandom() % 100) < mScenario.mPercent;
       if (relay || drawn) {
         chosen.insert(address);
       }
@@ -95,18 +95,18 @@
     return chosen;
   }
 
-  void Begin(const std::set<std::string>& aHosts)
+  void BeginFault(const std::set<std::string>& aHosts)
   {
-    switch (mCase.mTrouble) {
-      case HostTrouble::None:
+    switch (mScenario.mFault) {
+      case HostFault::None:
         break;
-      case HostTrouble::IsolatedFromControl:
+      case HostFault::IsolatedFromControl:
         mSimulation.mIsolatedFromControl = aHosts;
         break;
-      case HostTrouble::Frozen:
+      case HostFault::Frozen:
         mSimulation.mFrozen = aHosts;
         break;
-      case HostTrouble::LosePower:
+      case HostFault::LosePower:
         for (const std::string& address : aHosts) {
           mSimulation.LosePower(address);
         }
@@ -114,7 +114,7 @@
     }
   }
 
-  void End(const std::set<std::string>& aHosts)
+  void EndFault(const std::set<std::string>& aHosts)
   {
     mSimulation.mFrozen.clear();
     mSimulation.mIsolatedFromControl.clear();
@@ -125,18 +125,18 @@
     }
   }
 
-  void WaitForChange(const std::set<std::string>& aTroubled)
+  void WaitForChange(const std::set<std::string>& aFaultyHosts)
   {
     const std::vector<std::string> all = mSimulation.Addresses();
-    (void)mSimulation.RunUntil(kMostWait, [&] {
+    (void)mSimulation.RunUntil(kMaxWait, [&] {
       return std::all_of(all.begin(), all.end(), [&](const std::string& aHost) {
-        return aTroubled.count(aHost) != 0 ||
+        return aFaultyHosts.count(aHost) != 0 ||
                mSimulation.Node(aHost).mState.mCatalog.mVersion >= mVersion;
       });
     });
   }
 
-  int Levels()
+  int TreeDepth()
   {
     std::size_t most = 0;
     for (const std::string& address : mSimulation.Addresses()) {
@@ -145,7 +145,7 @@
     return static_cast<int>(most);
   }
 
-  ChangeCase mCase;
+  ChangeScenario mScenario;
   FleetSimulation mSimulation;
   std::mt19937_64 mRandom;
   std::uint64_t mVersion = 0;
@@ -153,16 +153,16 @@
 
 } // namespace
 
-const char* ToString(HostTrouble aTrouble) noexcept
+const char* ToString(HostFault aFault) noexcept
 {
-  return kTroubleNames[static_cast<std::size_t>(aTrouble)];
+  return kFaultNames[static_cast<std::size_t>(aFault)];
 }
 
-ChangeTimes MeasureChanges(const ChangeCase& aCase,
-                           int aChanges,
-                           std::uint64_t aSeed)
+ChangeMeasurement MeasureChanges(const ChangeScenario& aScenario,
+                                 int aChanges,
+                                 std::uint64_t aSeed)
 {
-  return Measurement(aCase, aSeed).Take(aChanges);
+  return Measurement(aScenario, aSeed).Run(aChanges);
 }
 
 } // namespace geraniumpond::fakes
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -11,7 +11,7 @@
 namespace geraniumpond::fakes {
 
 /// \brief What is done to hosts without a disk beside a change.
-enum class HostTrouble
+enum class HostFault
 {
   None,
   IsolatedFromControl,
@@ -19,32 +19,32 @@
   LosePower,
 };
 
-/// \brief Name of a trouble, for tables.
-[[nodiscard]] const char* ToString(HostTrouble aTrouble) noexcept;
+/// \brief Name of a fault, for tables.
+[[nodiscard]] const char* ToString(HostFault aFault) noexcept;
 
-struct ChangeCase
+struct ChangeScenario
 {
   int mDataCentres = 3;
   int mHostsWithoutDisk = 94;
-  HostTrouble mTrouble = HostTrouble::None;
+  HostFault mFault = HostFault::None;
   /// Of the hosts without a disk; 0 for one that others follow.
   int mPercent = 0;
 };
 
 /// \brief What was measured over some changes.
-struct ChangeTimes
+struct ChangeMeasurement
 {
   /// RunUntil all hosts to which nothing was done have the change.
   Micros mSlowest = 0;
   /// Questions for the group's word, over all hosts and changes.
-  std::uint64_t mQuestions = 0;
-  int mLevels = 0;
+  std::uint64_t mGroupStatusQueries = 0;
+  int mTreeDepth = 0;
 };
 
 /// \brief Founds a fleet and changes its policy so many times, at any moment
-/// between two reports, just before or just after the trouble begins.
-[[nodiscard]] ChangeTimes MeasureChanges(const ChangeCase& aCase,
-                                         int aChanges,
-                                         std::uint64_t aSeed);
+/// between two reports, just before or just after the fault begins.
+[[nodiscard]] ChangeMeasurement MeasureChanges(const ChangeScenario& aScenario,
+                                               int aChanges,
+                                               std::uint64_t aSeed);
 
 } // namespace geraniumpond::fakes
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -8,9 +8,9 @@
 
 namespace geraniumpond::fleet {
 
-using fakes::ChangeTimes;
+using fakes::ChangeMeasurement;
 using fakes::FleetSimulation;
-using fakes::HostTrouble;
+using fakes::HostFault;
 using fakes::PutPolicyCommand;
 
 namespace {
@@ -88,13 +88,13 @@
   void ChangesAreInForceInHalfOfThePromiseWhateverHostsMeet()
   {
     for (const int dataCentres : { 3, 1 }) {
-      for (const HostTrouble trouble : { HostTrouble::None,
-                                         HostTrouble::IsolatedFromControl,
-                                         HostTrouble::Frozen,
-                                         HostTrouble::LosePower }) {
+      for (const HostFault trouble : { HostFault::None,
+                                       HostFault::IsolatedFromControl,
+                                       HostFault::Frozen,
+                                       HostFault::LosePower }) {
         for (const int percent : { 0, 40 }) {
           const int others = dataCentres == 1 ? 180 : 94;
-          const ChangeTimes times = fakes::MeasureChanges(
+          const ChangeMeasurement times = fakes::MeasureChanges(
             { dataCentres, others, trouble, percent }, 5, 36);
           CPPUNIT_ASSERT_MESSAGE(
             ToString(trouble) + std::string(" ") + std::to_string(percent) +
