--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -1,5 +1,5 @@
-// How long a change takes from its acknowledgement to the last host that is in
-// touch, by size of the fleet, levels of relays and what is done to other
+// Measures the time from the acknowledgement of a policy change until the last
+// connected host applies it, by fleet size, tree depth and the faults of other
 // hosts.
 //
 //   change_bench [--changes N] [--hosts N] [--data-centres N]
@@ -30,8 +30,8 @@
   ChangeScenario scenario;
   scenario.mHostsWithoutDisk = static_cast<int>(options.Number("hosts", 94));
   scenario.mDataCentres = static_cast<int>(options.Number("data-centres", 3));
-  std::printf("hosts  levels  trouble                 of hosts  slowest ms  "
-              "questions a change\n");
+  std::printf("hosts   depth  fault                   of hosts  slowest ms  "
+              "queries per change\n");
   for (const HostFault fault : kFaults) {
     for (const int percent : kPercents) {
       scenario.mFault = fault;
--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -1,16 +1,20 @@
-// A seeded search for schedules of faults after which the control group has
-// lost what it acknowledged, or stays weaker than its settings say.
+// Searches random fault schedules for one after which the control group has
+// lost an acknowledged change, or tolerates fewer losses than its settings say.
 //
 //   member_search --seeds N [--first S]   a fixed range of seeds
-//   member_search --seconds N             as many as fit
-//   member_search --reads 1               with reads of the policy all along
-//   member_search --plant sync|size|read  a planted fault that must be found
-//   member_search --show S                one seed's smallest part, with logs
-//   member_search --file F                a schedule that was written down
-//                                         (both end with 1 where it breaks a
-//                                         promise, which is printed first)
-//   member_search --times N               how long until a group is whole again
-//                                         after a voter left, over N seeds
+//   member_search --seconds N             as many seeds as fit into N seconds
+//   member_search --reads 1               with policy reads during the
+//   schedules member_search --plant sync|size|read  an injected defect that
+//   must be found member_search --show S                the minimised schedule
+//   of a seed, with
+//                                         its log
+//   member_search --file F                a schedule read from a file
+//                                         (--show and --file exit with 1 if a
+//                                         guarantee is violated, and print
+//                                         the violation first)
+//   member_search --times N               time until the group tolerates its
+//                                         configured losses again after a voter
+//                                         left, over N seeds
 #include "fakes/fleet_schedule.h"
 #include "fakes/options.h"
 
@@ -42,11 +46,11 @@
   return 1;
 }
 
-// What a schedule breaks, if anything, then its steps and all that was logged.
+// Prints the violated guarantee, if any, then the steps and the log.
 int Show(const fakes::FleetSchedule& aSchedule)
 {
   const std::string fault = fakes::RunFleetSchedule(aSchedule);
-  std::cout << (fault.empty() ? "nothing broken" : "broken: " + fault) << "\n"
+  std::cout << (fault.empty() ? "no violation" : "violation: " + fault) << "\n"
             << fakes::Describe(aSchedule);
   (void)fakes::RunFleetSchedule(aSchedule, &std::cout);
   std::cout << std::flush;
@@ -60,8 +64,8 @@
   FallsSilent
 };
 
-// Time until a group of one voter more than it needs is whole without the one
-// that left; a minute where it never is.
+// Time until a group with one spare voter has removed the voter that left and
+// tolerates its configured losses again; a minute if it never does.
 Micros TimeUntilWhole(std::uint64_t aSeed, int aTolerated, Leaving aLeaving)
 {
   const int disks = 2 * aTolerated + 2;
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -15,7 +15,7 @@
   "frozen",
   "power lost",
 };
-/// The tree has its shape by then.
+/// Time within which the distribution tree settles.
 constexpr Micros kSettleTime = 10 * kSecond;
 constexpr Micros kMaxWait = 4 * kSecond;
 
@@ -33,7 +33,7 @@
     const auto voters = static_cast<std::size_t>(mScenario.mDataCentres);
     if (!mSimulation.RunUntil(kSettleTime,
                               [&] { return mSimulation.Voters() == voters; })) {
-      throw std::runtime_error("no group was founded");
+      throw std::runtime_error("the control group was not founded");
     }
     Change();
     mSimulation.Advance(kSettleTime);
@@ -65,13 +65,13 @@
   }
 
 private:
-  // RunUntil it is acknowledged; when that was.
+  // Changes the policy; returns the time of the acknowledgement.
   Micros Change()
   {
     const std::string leader = mSimulation.Leader();
     if (!mSimulation.Commit(
           leader, PutPolicyCommand(mVersion + 1, mVersion, "policy"))) {
-      throw std::runtime_error("a change was not committed");
+      throw std::runtime_error("a policy change was not committed");
     }
     ++mVersion;
     return mSimulation.mNow;
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -6,11 +6,11 @@
 #include <set>
 #include <string>
 
-/// \brief How long a change takes from its acknowledgement until it is in force
-/// at every host of a fleet, while something is done to others.
+/// \brief Measures the time from the acknowledgement of a change until it is in
+/// force at all undisturbed hosts of a simulated fleet.
 namespace geraniumpond::fakes {
 
-/// \brief What is done to hosts without a disk beside a change.
+/// \brief A fault of hosts without a disk while a change propagates.
 enum class HostFault
 {
   None,
@@ -19,7 +19,7 @@
   LosePower,
 };
 
-/// \brief Name of a fault, for tables.
+/// \brief Name of a fault, for reports.
 [[nodiscard]] const char* ToString(HostFault aFault) noexcept;
 
 struct ChangeScenario
@@ -27,22 +27,23 @@
   int mDataCentres = 3;
   int mHostsWithoutDisk = 94;
   HostFault mFault = HostFault::None;
-  /// Of the hosts without a disk; 0 for one that others follow.
+  /// Share of the hosts without a disk that have the fault; 0 for one relay.
   int mPercent = 0;
 };
 
-/// \brief What was measured over some changes.
+/// \brief Results over all changes of a measurement.
 struct ChangeMeasurement
 {
-  /// RunUntil all hosts to which nothing was done have the change.
+  /// Longest time until all hosts without a fault have the change.
   Micros mSlowest = 0;
-  /// Questions for the group's word, over all hosts and changes.
+  /// Queries for the control group's status, over all hosts and changes.
   std::uint64_t mGroupStatusQueries = 0;
+  /// Most relays between a host and the control hosts.
   int mTreeDepth = 0;
 };
 
-/// \brief Founds a fleet and changes its policy so many times, at any moment
-/// between two reports, just before or just after the fault begins.
+/// \brief Starts a fleet and changes its policy `aChanges` times, each at a
+/// random moment, just before or just after the fault begins.
 [[nodiscard]] ChangeMeasurement MeasureChanges(const ChangeScenario& aScenario,
                                                int aChanges,
                                                std::uint64_t aSeed);
--- a/tests/fakes/disk.h
+++ b/tests/fakes/disk.h
@@ -6,10 +6,11 @@
 #include <string>
 #include <vector>
 
-/// \brief What a simulated host's disk holds.
+/// \brief The content of a simulated host's disk.
 namespace geraniumpond::fakes {
 
-/// \brief A disk before its host's first start; a founder's names the group.
+/// \brief The disk of a host before its first start; a founder's disk holds the
+/// founding members.
 [[nodiscard]] consensus::Recovered FreshDisk(
   const std::vector<std::string>& aSeeds,
   bool aFounder,
--- a/tests/fakes/fleet_schedule.cpp
+++ b/tests/fakes/fleet_schedule.cpp
@@ -62,7 +62,7 @@
   schedule.mSeed = aSeed;
   schedule.mTolerated = below(4) == 0 ? 2 : 1;
   schedule.mHostsWithDisk = 2 * schedule.mTolerated + 1 + below(3);
-  // Most are small; in some there are hosts below relays.
+  // Most fleets are small; some are large enough to have relays.
   schedule.mHostsWithoutDisk = below(8) == 0 ? 16 + below(24) : 2 + below(4);
   const int steps = 2 + below(kMaxSteps);
   for (int i = 0; i < steps; ++i) {
@@ -70,7 +70,7 @@
     step.mFault = static_cast<FleetFault>(below(kFaultNames.size()));
     step.mSelector = random();
     step.mDuration = (50 + below(4000)) * kMillisecond;
-    // Many faults strike while others last.
+    // A third of the pauses are short, so that faults overlap.
     step.mPause =
       below(3) == 0 ? below(400) * kMillisecond : below(5000) * kMillisecond;
     schedule.mSteps.push_back(step);
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -9,61 +9,64 @@
 #include <string>
 #include <vector>
 
-/// \brief Schedules of faults around a control group, drawn by seed: what was
-/// acknowledged must be there after each, and the group must tolerate again
-/// what its settings say.
+/// \brief Random fault schedules for a simulated fleet, generated from a seed.
+/// After each schedule every acknowledged change must be present, and the
+/// control group must tolerate as many losses as its settings say.
 namespace geraniumpond::fakes {
 
-/// \brief What a step does.
+/// \brief The action of a schedule step. "Control hosts" are hosts with a disk.
 enum class FleetFault
 {
-  /// A control host is told to stop, ends and starts again.
+  /// A control host stops gracefully and starts again.
   Restart,
-  /// A newcomer joins, then a control host is told to stop and goes for good.
+  /// A new control host joins, then another one stops gracefully for good.
   ReplacePlanned,
-  /// A control host goes for good; a newcomer joins after a while.
+  /// A control host is lost for good; a new one joins after a delay.
   ReplaceLost,
-  /// A control host loses power and its disk.
+  /// A control host loses power and the content of its disk.
   LoseDisk,
-  /// A process ends; its disk is as it was.
+  /// A host's process is killed; its disk is unchanged.
   Kill,
-  /// A control host loses power: what it had not synced is gone.
+  /// A control host loses power, and with it the writes that were not synced.
   LosePower,
   /// All hosts lose power.
   LoseAllPower,
-  /// All hosts lose power, one of them its disk.
+  /// All hosts lose power, and one of them the content of its disk.
   LoseAllPowerAndOneDisk,
-  /// A control host is cut off from all others.
+  /// A control host is isolated from all other hosts.
   IsolateHost,
-  /// The control hosts are cut into two halves; others reach both.
+  /// The control hosts are partitioned in two; the other hosts reach both
+  /// parts.
   SplitControlHosts,
-  /// Four in ten hosts without a disk are cut off from all control hosts.
+  /// About 40 % of the hosts without a disk are isolated from all control
+  /// hosts.
   IsolateFromControl,
+  /// The process of a control host is suspended.
   Freeze,
-  /// A disk answers nothing for a while.
+  /// A control host's disk completes no sync for a while.
   StallDisk,
-  /// The settings name other seeds from the next start on.
+  /// The settings of all hosts name other seeds from their next start on.
   ReplaceSeeds,
-  /// Faults end, and what is promised is checked.
+  /// All faults end; the guarantees that hold after recovery are checked.
   Settle,
 };
 
-/// \brief Lower-case name of a fault.
+/// \brief Name of a fault as schedules spell it.
 [[nodiscard]] const char* ToString(FleetFault aFault) noexcept;
 
-/// \brief A fault of the fleet itself, to show that the checks find it.
+/// \brief A defect that is injected to show that the checks detect it.
 enum class FleetDefect
 {
   None,
-  /// A loss of power takes what a disk had synced last.
+  /// A power loss also loses the entry that a disk synced last.
   LosesSyncedWrites,
-  /// Hosts think that no loss need be tolerated.
+  /// Hosts are configured to tolerate no loss.
   ToleratesNoLoss,
-  /// Leaders take it for granted that a quorum follows them.
+  /// Leaders assume that a quorum follows them, without a confirmation.
   TrustsUnconfirmedLeader,
 };
 
-/// \brief The plant of a name; nothing for an unknown one.
+/// \brief The defect of this name; nothing for an unknown name.
 [[nodiscard]] std::optional<FleetDefect> ParseFleetDefect(
   const std::string& aName);
 
@@ -71,10 +74,10 @@
 struct FleetStep
 {
   FleetFault mFault = FleetFault::Settle;
-  /// Which of the hosts that fit.
+  /// Selects one of the eligible hosts, modulo their number.
   std::uint64_t mSelector = 0;
   Micros mDuration = 0;
-  /// Time until the next step.
+  /// Delay before the next step.
   Micros mPause = 0;
 };
 
@@ -85,27 +88,27 @@
   int mHostsWithoutDisk = 3;
   int mTolerated = 1;
   FleetDefect mDefect = FleetDefect::None;
-  /// Operators read the policy all along.
+  /// Operators read the policy throughout the run.
   bool mReadPolicy = false;
   std::vector<FleetStep> mSteps;
 };
 
-/// \brief The schedule of a seed.
+/// \brief Generates the schedule of a seed.
 [[nodiscard]] FleetSchedule MakeFleetSchedule(std::uint64_t aSeed);
 
-/// \brief Plays a schedule; what was broken, empty when nothing was. Lines that
-/// the hosts log and the steps that are taken go to a stream where one is
-/// given.
+/// \brief Runs a schedule; returns the violated guarantee, or an empty string.
+/// Writes the steps and the log lines of the hosts to `aLog` unless it is null.
 [[nodiscard]] std::string RunFleetSchedule(const FleetSchedule& aSchedule,
                                            std::ostream* aLog = nullptr);
 
-/// \brief The smallest part of a failing schedule that was found to fail.
+/// \brief Removes steps from a failing schedule while it still fails.
 [[nodiscard]] FleetSchedule ShrinkFleetSchedule(FleetSchedule aSchedule);
 
-/// \brief A step a line.
+/// \brief Text of a schedule: its settings in one line, then one line a step.
 [[nodiscard]] std::string Describe(const FleetSchedule& aSchedule);
 
-/// \brief Reads what Describe() writes; lines that begin with # are skipped.
+/// \brief Parses the text that Describe() writes; lines that start with # are
+/// comments.
 [[nodiscard]] Result<FleetSchedule> ParseFleetSchedule(std::istream& aText);
 
 } // namespace geraniumpond::fakes
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -7,30 +7,30 @@
 #include <ostream>
 #include <random>
 
-// Plays a schedule of faults in the simulated fleet, with changes of the policy
-// all along, and checks what is promised.
+// Runs a fault schedule in a simulated fleet while the policy keeps changing,
+// and checks the guarantees that the fleet gives.
 namespace geraniumpond::fakes {
 
 namespace {
 
 using fleet::State;
 
-/// A host that was told to stop ends after this time.
+/// Time between the request to stop and the end of the process.
 constexpr Micros kStopTime = 4 * kSecond;
-/// RunLater the last fault all hosts serve, what was acknowledged can be read,
-/// and the group tolerates what its settings say within this time: 8 s as
-/// promised for serving, 4 s for a voter that is gone.
+/// Within this time after the last fault all hosts serve, acknowledged changes
+/// can be read, and the group tolerates its configured losses: 8 s is the
+/// guarantee for serving, 4 s that for removing a lost voter.
 constexpr Micros kSettleTime = 12 * kSecond;
-/// What is promised at any time is looked at in this pace.
+/// Interval of the checks of guarantees that hold at all times.
 constexpr Micros kCheckInterval = 20 * kMillisecond;
-/// Settings name a control host's successor this long after it has gone.
+/// Delay until the settings name the successor of a removed control host.
 constexpr Micros kSeedUpdateDelay = 3 * kSecond;
 constexpr Micros kChangeInterval = 300 * kMillisecond;
-/// A change is in force this long after its acknowledgement, at hosts that are
-/// left alone.
+/// A change is in force at undisturbed hosts this long after its
+/// acknowledgement.
 constexpr Micros kChangeDeadline = 2 * kSecond;
 
-/// \brief A change of the policy that was sent and has not ended.
+/// \brief A policy change that was submitted and has no outcome yet.
 struct PendingChange
 {
   std::string mHost;
@@ -39,7 +39,7 @@
   std::uint64_t mVersion = 0;
 };
 
-/// \brief Plays one schedule.
+/// \brief Runs one schedule.
 class ScheduleRunner
 {
 public:
@@ -69,20 +69,20 @@
     const auto disks = static_cast<std::size_t>(mSchedule.mHostsWithDisk);
     if (!mSimulation.RunUntil(10 * kSecond,
                               [&] { return mSimulation.Voters() == disks; })) {
-      return "no group was founded";
+      return "the control group was not founded";
     }
-    // The last founder counts once its vote is committed everywhere.
+    // Lets the membership that includes the last founder commit everywhere.
     mSimulation.Advance(kSecond);
     for (const FleetStep& step : mSchedule.mSteps) {
       Log("schedule", ToString(step.mFault));
       RunStep(step);
       Advance(step.mPause);
-      if (!mFault.empty()) {
-        return mFault;
+      if (!mViolation.empty()) {
+        return mViolation;
       }
     }
     Settle();
-    return mFault;
+    return mViolation;
   }
 
 private:
@@ -96,7 +96,7 @@
   void Advance(Micros aTime)
   {
     const Micros end = mSimulation.mNow + aTime;
-    while (mSimulation.mNow < end && mFault.empty()) {
+    while (mSimulation.mNow < end && mViolation.empty()) {
       while (!mScheduledActions.empty() &&
              mScheduledActions.begin()->first <= mSimulation.mNow) {
         const std::function<void()> action = mScheduledActions.begin()->second;
@@ -150,7 +150,8 @@
     return hosts;
   }
 
-  // A running control host that is not about to go.
+  // A running control host that no earlier step is stopping or replacing; empty
+  // if there is none.
   std::string SelectControlHost(std::uint64_t aSelector)
   {
     std::vector<std::string> hosts = Hosts(true, true);
@@ -184,8 +185,8 @@
 
   // --- disks
 
-  // Voters whose disk is gone, as the leader counts them; nothing is known
-  // without a leader that has committed its members.
+  // Number of voters whose disk is lost, according to the leader. Without a
+  // leader that has committed its membership, the last known number.
   int MissingDisks()
   {
     const std::string leader = mSimulation.Leader();
@@ -196,13 +197,13 @@
     if (group.mCommit < std::max(group.mMembershipIndex, group.mTermStart)) {
       return mMissingDisks;
     }
-    const int least = 2 * mSchedule.mTolerated + 1;
-    int missing = std::max(0, least - static_cast<int>(mSimulation.Voters()));
+    const int needed = 2 * mSchedule.mTolerated + 1;
+    int missing = std::max(0, needed - static_cast<int>(mSimulation.Voters()));
     for (const wire::Member& member : group.mMembership.members()) {
-      const bool there =
+      const bool present =
         mRemoved.count(member.address()) == 0 &&
         Node(member.address()).mDisk.mHard.storage() == member.storage();
-      missing += member.voter() && !there ? 1 : 0;
+      missing += member.voter() && !present ? 1 : 0;
     }
     mMissingDisks = missing;
     return missing;
@@ -288,7 +289,7 @@
     });
   }
 
-  // The last step waits while its disk is still needed.
+  // Retries later while the group still needs the disk of this host.
   void RemoveForGood(const std::string& aHost)
   {
     const bool voter = IsVoter(aHost);
@@ -297,7 +298,7 @@
       return;
     }
     mMissingDisks += voter ? 1 : 0;
-    Log(aHost, "goes for good");
+    Log(aHost, "is removed for good");
     mSimulation.Kill(aHost);
     mRemoved.insert(aHost);
     mHostsInUse.erase(aHost);
@@ -333,7 +334,7 @@
       return;
     }
     ++mMissingDisks;
-    Log(aHost, "goes for good");
+    Log(aHost, "is removed for good");
     mSimulation.LosePower(aHost);
     mRemoved.insert(aHost);
     mStability.RecordPermanentLoss();
@@ -381,7 +382,7 @@
 
   void IsolateHost(const std::string& aHost, Micros aDuration)
   {
-    Log(aHost, "is cut off");
+    Log(aHost, "is isolated");
     mSimulation.mIsolated.insert(aHost);
     RunLater(aDuration, [this, aHost] { mSimulation.mIsolated.erase(aHost); });
   }
@@ -407,7 +408,9 @@
         hosts.insert(address);
       }
     }
-    Log("schedule", "cuts off " + std::to_string(hosts.size()) + " hosts");
+    Log("schedule",
+        "isolates " + std::to_string(hosts.size()) +
+          " hosts from the control hosts");
     mSimulation.mIsolatedFromControl = hosts;
     RunLater(aDuration, [this, hosts] {
       if (mSimulation.mIsolatedFromControl == hosts) {
@@ -426,21 +429,20 @@
 
   void Freeze(const std::string& aHost, Micros aDuration)
   {
-    Log(aHost, "freezes");
+    Log(aHost, "is suspended");
     mSimulation.mFrozen.insert(aHost);
     RunLater(aDuration, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
   }
 
   void StallDisk(const std::string& aHost, Micros aDuration)
   {
-    Log(aHost, "has its disk stalled");
+    Log(aHost, "has a stalled disk");
     mSimulation.mStalledDisks.insert(aHost);
     RunLater(aDuration,
              [this, aHost] { mSimulation.mStalledDisks.erase(aHost); });
   }
 
-  // Three of the control hosts that have not gone for good, running or not:
-  // what settings name.
+  // Up to three control hosts that were not removed for good, running or not.
   std::vector<std::string> SeedsFromControlHosts(std::uint64_t aSelector)
   {
     const std::vector<std::string> control = Hosts(true, false);
@@ -456,7 +458,7 @@
     mSimulation.ReplaceSeeds(SeedsFromControlHosts(aSelector));
   }
 
-  // --- changes of the policy all along
+  // --- policy changes
 
   void ChangePolicy()
   {
@@ -504,15 +506,15 @@
 
   // --- checks
 
-  // A host's version never goes back within one life of its process.
+  // The policy version of a host never decreases while its process runs.
   void CheckInvariants()
   {
     for (const std::string& address : Hosts(false, true)) {
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
       std::uint64_t& known = mLastSeenVersions[address];
       if (version < known) {
-        mFault = address + " went back from version " + std::to_string(known) +
-                 " to " + std::to_string(version);
+        mViolation = address + " went back from policy version " +
+                     std::to_string(known) + " to " + std::to_string(version);
       }
       known = version;
     }
@@ -525,8 +527,9 @@
     if (!mSchedule.mReadPolicy) {
       return;
     }
-    const std::string fault = mReaders.Poll(Hosts(false, true), mAcknowledged);
-    mFault = mFault.empty() ? fault : mFault;
+    const std::string violation =
+      mReaders.Poll(Hosts(false, true), mAcknowledged);
+    mViolation = mViolation.empty() ? violation : mViolation;
   }
 
   void CheckAppliedVersions()
@@ -537,16 +540,16 @@
     }
     mAcknowledgedAt.erase(mAcknowledgedAt.begin(),
                           mAcknowledgedAt.lower_bound(wanted));
-    const std::string cuts = mPartitionedHalf.empty() ? "" : "halves";
-    const bool calm = mStability.IsGroupStable(Hosts(true, false), cuts);
+    const std::string partition = mPartitionedHalf.empty() ? "" : "halves";
+    const bool stable = mStability.IsGroupStable(Hosts(true, false), partition);
     for (const std::string& address : Hosts(false, true)) {
-      const bool must =
+      const bool mustApply =
         mStability.IsHostStable(address) && !CannotRejoin(address);
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
-      if (calm && must && version < wanted) {
-        mFault =
-          address + " acts by version " + std::to_string(version) + ", " +
-          std::to_string(wanted) + " was acknowledged " +
+      if (stable && mustApply && version < wanted) {
+        mViolation =
+          address + " applies version " + std::to_string(version) +
+          "; version " + std::to_string(wanted) + " was acknowledged " +
           std::to_string((mSimulation.mNow - mAcknowledgedAt.at(wanted)) /
                          kMillisecond) +
           " ms ago";
@@ -562,16 +565,17 @@
     mSimulation.mIsolatedFromControl.clear();
     mSimulation.mFrozen.clear();
     mSimulation.mStalledDisks.clear();
-    // Stops and starts that are under way come to their end.
+    // Lets stops and starts that are under way complete.
     const Micros end = mSimulation.mNow + kStopTime + 3 * kSecond;
     while (!mScheduledActions.empty() && mSimulation.mNow < end &&
-           mFault.empty()) {
+           mViolation.empty()) {
       Advance(kCheckInterval);
     }
   }
 
-  // The one case that decisions/0007 leaves out: every seed that the host was
-  // started with has gone for good, and it has known no other one since.
+  // The one case that decisions/0007 excludes: all seeds that the host was
+  // started with were removed for good, and it has learned of no other control
+  // host since.
   bool CannotRejoin(const std::string& aAddress)
   {
     const State& state = Node(aAddress).mState;
@@ -594,20 +598,21 @@
         continue;
       }
       if (!fleet::IsInTouch(state, mSimulation.mNow) && !state.mStopping) {
-        return address + " is out of touch";
+        return address + " is out of touch with the control group";
       }
       if (state.mCatalog.mVersion < mAcknowledged) {
-        return address + " has version " +
-               std::to_string(state.mCatalog.mVersion) + " of " +
+        return address + " has policy version " +
+               std::to_string(state.mCatalog.mVersion) + ", not " +
                std::to_string(mAcknowledged);
       }
     }
     const fleet::GroupHealth health =
       fleet::HealthOf(Node(leader).mState, mSimulation.mNow);
     if (health.mTolerated < mSchedule.mTolerated) {
-      return "the group of " + std::to_string(health.mVoters) + ", " +
-             std::to_string(health.mAnswering) + " there, tolerates " +
-             std::to_string(health.mTolerated);
+      return "the group of " + std::to_string(health.mVoters) + " voters, " +
+             std::to_string(health.mAnswering) +
+             " of them answering, tolerates " +
+             std::to_string(health.mTolerated) + " losses";
     }
     return "";
   }
@@ -616,13 +621,13 @@
   {
     EndFaults();
     const Micros end = mSimulation.mNow + kSettleTime;
-    std::string missing = UnmetExpectation();
-    while (!missing.empty() && mSimulation.mNow < end && mFault.empty()) {
+    std::string unmet = UnmetExpectation();
+    while (!unmet.empty() && mSimulation.mNow < end && mViolation.empty()) {
       Advance(kCheckInterval);
-      missing = UnmetExpectation();
+      unmet = UnmetExpectation();
     }
-    if (mFault.empty() && !missing.empty()) {
-      mFault = missing;
+    if (mViolation.empty() && !unmet.empty()) {
+      mViolation = unmet;
     }
   }
 
@@ -631,12 +636,12 @@
   FleetStability mStability;
   PolicyReaders mReaders;
   std::ostream* mLog = nullptr;
-  std::string mFault;
+  std::string mViolation;
   std::multimap<Micros, std::function<void()>> mScheduledActions;
   std::set<std::string> mRemoved;
-  /// Hosts that a step has in hand.
+  /// Hosts that a step is stopping, restarting or replacing.
   std::set<std::string> mHostsInUse;
-  /// Control hosts of one half, while they are cut in two.
+  /// One part of the control hosts while they are partitioned in two.
   std::set<std::string> mPartitionedHalf;
   std::map<std::uint64_t, Micros> mAcknowledgedAt;
   int mHostsAdded = 0;
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -49,12 +49,12 @@
     const bool founds = aFounding && seed;
     node.mDisk = FreshDisk(mSeeds, founds, founds ? 0 : Random());
   }
-  // What a killed process had written is on the disk by its next start.
+  // Writes of a killed process have reached the disk by its next start.
   node.mSyncedDisk = node.mDisk;
   node.mUnsynced.clear();
   node.mAlive = true;
   node.mInbox = fleet::Inbox();
-  // Numbers of commands begin anew.
+  // Command ids restart with each process.
   node.mDone.clear();
   node.mBusyUntil = mNow;
   fleet::Output output;
@@ -203,7 +203,7 @@
                      mProcessingCost.mPerKilobyte * bytes / 1024;
 }
 
-// What a step's messages take is done within it.
+// A host may start work whenever it is idle before the end of the step.
 bool FleetSimulation::HasProcessorTime(const FleetNode& aNode) const
 {
   return aNode.mBusyUntil < mNow + kStepTime;
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -11,28 +11,29 @@
 #include <string>
 #include <vector>
 
-/// \brief Hosts of a fleet around one queue of messages, in virtual time.
+/// \brief A simulated fleet: hosts that exchange messages through one queue, in
+/// virtual time.
 namespace geraniumpond::fakes {
 
-/// \brief One host: its reducer, what its disk holds, and what it was told.
+/// \brief A simulated host: its reducer, its disk and the results it reported.
 struct FleetNode
 {
   fleet::Settings mSettings;
   fleet::State mState;
   consensus::Recovered mDisk;
-  /// The part of it that is synced: what outlives a loss of power.
+  /// The synced part of the disk, which survives a power loss.
   consensus::Recovered mSyncedDisk;
   std::deque<consensus::Write> mUnsynced;
   bool mAlive = false;
-  /// Ends of submitted commands, by id.
+  /// Outcomes of submitted commands, by command id.
   std::map<std::uint64_t, fleet::Done> mDone;
   std::vector<std::string> mNotes;
-  /// Messages that have arrived and wait for the processor.
+  /// Received messages that wait for processor time.
   fleet::Inbox mInbox;
   Micros mBusyUntil = 0;
 };
 
-/// \brief A message on its way.
+/// \brief A message in flight.
 struct SentMessage
 {
   std::string mFrom;
@@ -40,7 +41,7 @@
   wire::FleetMessage mMessage;
 };
 
-/// \brief A write that reaches a host's disk later.
+/// \brief A disk write whose sync has not completed yet.
 struct PendingSync
 {
   std::string mAddress;
@@ -48,63 +49,66 @@
   std::uint64_t mSequence = 0;
 };
 
-/// \brief Time that messages take of a host; none by default.
+/// \brief Processor time that a host spends on messages; none by default.
 struct ProcessingCost
 {
-  /// To take or to send a message, at hosts with a disk and at others.
+  /// For each message received or sent, at hosts with a disk and at others.
   Micros mPerControlHostMessage = 0;
   Micros mPerOtherHostMessage = 0;
-  /// The same for each kilobyte.
+  /// For each kilobyte received or sent, at all hosts.
   Micros mPerKilobyte = 0;
 };
 
-/// \brief The whole fleet.
+/// \brief Simulates all hosts, their network and their disks.
 class FleetSimulation
 {
 public:
   explicit FleetSimulation(std::uint64_t aSeed = 1);
 
-  /// \brief Adds a host that is not started yet; those with a disk vote.
+  /// \brief Adds a stopped host. Hosts with a disk become voters.
   void Add(const std::string& aAddress,
            bool aDisk,
            const std::string& aDataCentre = "dc");
 
-  /// \brief Gives hosts that are added later other seeds.
+  /// \brief Sets the seeds of hosts that are added later.
   void SetSeeds(std::vector<std::string> aSeeds) { mSeeds = std::move(aSeeds); }
 
-  /// \brief Gives all hosts other seeds, which count from their next start on.
+  /// \brief Replaces the seeds of all hosts, with effect from their next start.
   void ReplaceSeeds(const std::vector<std::string>& aSeeds);
 
-  /// \brief Starts a host; a founder has its founding disk made.
+  /// \brief Starts a host. With `aFounding`, a seed with an empty disk gets a
+  /// founding disk.
   void Start(const std::string& aAddress, bool aFounding);
 
-  /// \brief Adds and starts `aHostsWithDisk` hosts with a disk and
-  /// `aHostsWithoutDisk` without, the first three as seeds.
+  /// \brief Adds and starts a fleet; the first three hosts with a disk are the
+  /// seeds.
   void StartFleet(int aHostsWithDisk,
                   int aHostsWithoutDisk,
                   int aToleratedLosses);
 
-  /// \brief Adds and starts a host with a disk in each of some data centres and
-  /// `aHostsWithoutDisk` without, spread over them; the first three as seeds.
+  /// \brief Adds and starts a fleet with one host with a disk in each data
+  /// centre, and the hosts without a disk spread over the data centres. The
+  /// first three hosts with a disk are the seeds.
   void StartSpreadFleet(int aDataCentres,
                         int aHostsWithoutDisk,
                         int aToleratedLosses);
 
   void Kill(const std::string& aAddress) { mNodes.at(aAddress).mAlive = false; }
-  /// \brief Tells a host to stop; it runs on until it is killed.
+  /// \brief Begins a graceful stop; the host runs until it is killed.
   void Stop(const std::string& aAddress);
-  /// \brief Ends a host at once; what its disk had not synced is gone.
+  /// \brief Ends a host at once; writes that were not synced are lost.
   void LosePower(const std::string& aAddress);
-  /// \brief Empties a stopped host's disk.
+  /// \brief Erases the disk of a stopped host.
   void Wipe(const std::string& aAddress);
 
   void Advance(Micros aTime);
-  /// \brief Advances until the condition holds; false when it does not in time.
+  /// \brief Advances until the condition holds, for at most `aMost`; returns
+  /// whether it holds.
   bool RunUntil(Micros aMost, const std::function<bool()>& aCondition);
 
   [[nodiscard]] std::uint64_t Submit(const std::string& aAddress,
                                      const wire::CatalogCommand& aCommand);
-  /// \brief Submits and waits; true when it was committed and accepted.
+  /// \brief Submits a command and waits; true if it was committed and accepted.
   bool Commit(const std::string& aAddress,
               const wire::CatalogCommand& aCommand);
 
@@ -122,27 +126,29 @@
   {
     return Has(aAddress) && At(aAddress).mSettings.mControl;
   }
-  /// \brief Questions for the group's word that all hosts have asked.
+  /// \brief Number of queries for the control group's status that all hosts
+  /// have sent.
   [[nodiscard]] std::uint64_t GroupStatusQueries() const;
   [[nodiscard]] std::string Leader() const;
-  /// \brief Voters as the leader counts them; none without one.
+  /// \brief Number of voters according to the leader; 0 without a leader.
   [[nodiscard]] std::size_t Voters() const { return VoterAddresses().size(); }
   [[nodiscard]] std::vector<std::string> VoterAddresses() const;
   [[nodiscard]] std::vector<std::string> Addresses() const;
 
-  /// Hosts that cannot exchange messages with any other one.
+  /// Hosts that cannot exchange messages with any other host.
   std::set<std::string> mIsolated;
-  /// Hosts that cannot exchange messages with those that have a disk.
+  /// Hosts that cannot exchange messages with hosts that have a disk.
   std::set<std::string> mIsolatedFromControl;
-  /// Hosts that do nothing; what is sent to them waits.
+  /// Hosts whose process is suspended; messages to them are queued.
   std::set<std::string> mFrozen;
-  /// Hosts whose disks answer nothing.
+  /// Hosts whose disks complete no sync.
   std::set<std::string> mStalledDisks;
-  /// Messages for which it returns true are lost.
+  /// Messages for which this returns true are dropped.
   std::function<bool(const SentMessage&)> mShouldDrop;
-  /// A planted fault: a loss of power takes what was synced last.
+  /// Injected defect: a power loss also loses the entry that was synced last.
   bool mLosesSyncedWrites = false;
-  /// A planted fault: whoever asks whether it leads is told so at once.
+  /// Injected defect: every leader check is confirmed, whatever the receiver
+  /// knows.
   bool mForgesLeaderChecks = false;
   Micros mNow = kSecond;
   ProcessingCost mProcessingCost;
@@ -169,12 +175,12 @@
   std::uint64_t mIncarnation = 0;
 };
 
-/// \brief A change of the policy.
+/// \brief A command that changes the policy.
 [[nodiscard]] wire::CatalogCommand PutPolicyCommand(std::uint64_t aVersion,
                                                     std::uint64_t aBase,
                                                     const std::string& aText);
 
-/// \brief A target's announcement.
+/// \brief A command that announces a target.
 [[nodiscard]] wire::CatalogCommand PutTargetCommand(const std::string& aId,
                                                     std::uint64_t aSequence,
                                                     bool aDraining);
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Time in which hosts that were left alone hear of each other.
+/// Time within which undisturbed hosts exchange messages again.
 constexpr Micros kContactTime = 3 * kSecond;
-/// Time in which a control host that is back, or new, has caught up.
+/// Time within which a restarted or new control host catches up.
 constexpr Micros kCatchUpTime = 4 * kSecond;
 
 } // namespace
@@ -72,9 +72,9 @@
 }
 
 bool FleetStability::IsGroupStable(const std::vector<std::string>& aControl,
-                                   const std::string& aCuts)
+                                   const std::string& aPartition)
 {
-  std::string all = aCuts;
+  std::string all = aPartition;
   int lost = mUnreplaced;
   for (const std::string& address : aControl) {
     all += ConditionOf(address) + ";";
@@ -85,7 +85,7 @@
       return mSimulation.mNow - aAt < kCatchUpTime;
     }));
   const Micros since = UnchangedSince("group", all);
-  return aCuts.empty() && lost <= mTolerated &&
+  return aPartition.empty() && lost <= mTolerated &&
          mSimulation.mNow - since > kContactTime;
 }
 
--- a/tests/fakes/fleet_stability.h
+++ b/tests/fakes/fleet_stability.h
@@ -6,29 +6,30 @@
 #include <string>
 #include <vector>
 
-/// \brief UnchangedSince when nothing was done to hosts, as far as a schedule
-/// goes.
+/// \brief How long hosts of a simulated fleet have been undisturbed by faults.
 namespace geraniumpond::fakes {
 
-/// \brief Tells when hosts must act by what was acknowledged: while they were
-/// left alone for long enough, and no more control hosts are lost than the
-/// group tolerates. One that is back, or came in place of another, counts as
-/// lost until it has had time to catch up.
+/// \brief Decides when hosts must apply every acknowledged change: once they
+/// have been undisturbed for long enough, while no more control hosts are lost
+/// than the group tolerates. A control host that was restarted or replaced
+/// counts as lost until it has had time to catch up.
 class FleetStability
 {
 public:
   FleetStability(FleetSimulation& aSimulation, int aTolerated);
 
-  /// \brief A control host is gone for good and nothing counts in its place
-  /// until a newcomer starts.
+  /// \brief Records that a control host is lost for good; it counts as lost
+  /// until its replacement has caught up.
   void RecordPermanentLoss() { ++mUnreplaced; }
-  /// \brief The newcomer for one of them has started.
+  /// \brief Records that a replacement for a lost control host has started.
   void RecordReplacement();
 
-  /// \brief `aControl`: those that have not gone for good; `aCuts`: a word for
-  /// the cuts between them, empty for none.
+  /// \brief Whether the control group has been undisturbed for long enough.
+  /// `aControl`: the control hosts that are not lost for good; `aPartition`: a
+  /// name for the partition between them, empty for none.
   [[nodiscard]] bool IsGroupStable(const std::vector<std::string>& aControl,
-                                   const std::string& aCuts);
+                                   const std::string& aPartition);
+  /// \brief Whether a host has been undisturbed for long enough.
   [[nodiscard]] bool IsHostStable(const std::string& aAddress);
 
 private:
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -42,9 +42,10 @@
   ++mAnswered;
   const std::uint64_t version = done->second.mOutcome.version();
   if (version < aRead.mMinVersion) {
-    aFault = aRead.mHost + " answers a read with version " +
+    aFault = aRead.mHost + " answered a read with version " +
              std::to_string(version) + ", " +
-             std::to_string(aRead.mMinVersion) + " was acknowledged before";
+             std::to_string(aRead.mMinVersion) +
+             " was acknowledged before the read";
   }
   return true;
 }
--- a/tests/fakes/policy_readers.h
+++ b/tests/fakes/policy_readers.h
@@ -6,22 +6,23 @@
 #include <string>
 #include <vector>
 
-/// \brief Operators who read the policy from any hosts, all along.
+/// \brief Operators who read the policy from random hosts during a schedule.
 namespace geraniumpond::fakes {
 
-/// \brief Sends reads, and checks that no answer is older than what was
-/// acknowledged before its read was sent.
+/// \brief Sends reads and checks that no answer is older than the version that
+/// was acknowledged before the read was sent.
 class PolicyReaders
 {
 public:
   PolicyReaders(FleetSimulation& aSimulation, std::uint64_t aSeed);
 
-  /// \brief Sends a read to one of these hosts when it is time, and takes the
-  /// ends of those before; what is wrong, empty for nothing.
+  /// \brief Checks the answers to pending reads, and sends a read to one of
+  /// these hosts when the next one is due. Returns the violation found, or an
+  /// empty string.
   std::string Poll(const std::vector<std::string>& aHosts,
                    std::uint64_t aAcknowledged);
 
-  /// Reads that were answered.
+  /// Number of reads that were answered.
   std::uint64_t mAnswered = 0;
 
 private:
@@ -30,12 +31,12 @@
     std::string mHost;
     std::uint64_t mIncarnation = 0;
     std::uint64_t mId = 0;
-    /// Newest acknowledged version as it was sent.
+    /// Newest version acknowledged when the read was sent.
     std::uint64_t mMinVersion = 0;
   };
 
   void Send(const std::string& aHost, std::uint64_t aAcknowledged);
-  /// \brief True where the read has ended, or nobody is left who waits for it.
+  /// \brief True if the read has ended, also because its host has restarted.
   bool CheckAnswer(const PendingRead& aRead, std::string& aFault);
 
   FleetSimulation& mSimulation;
