--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -17,7 +17,7 @@
 
 constexpr HostFault kFaults[] = { HostFault::None,
                                   HostFault::IsolatedFromControl,
-                                  HostFault::Frozen,
+                                  HostFault::Suspended,
                                   HostFault::LosePower };
 constexpr int kPercents[] = { 0, 40 };
 
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -103,8 +103,8 @@
       case HostFault::IsolatedFromControl:
         mSimulation.mIsolatedFromControl = aHosts;
         break;
-      case HostFault::Frozen:
-        mSimulation.mFrozen = aHosts;
+      case HostFault::Suspended:
+        mSimulation.mSuspended = aHosts;
         break;
       case HostFault::LosePower:
         for (const std::string& address : aHosts) {
@@ -116,7 +116,7 @@
 
   void EndFault(const std::set<std::string>& aHosts)
   {
-    mSimulation.mFrozen.clear();
+    mSimulation.mSuspended.clear();
     mSimulation.mIsolatedFromControl.clear();
     for (const std::string& address : aHosts) {
       if (!mSimulation.Node(address).mAlive) {
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -15,7 +15,7 @@
 {
   None,
   IsolatedFromControl,
-  Frozen,
+  Suspended,
   LosePower,
 };
 
--- a/tests/fakes/fleet_schedule.h
+++ b/tests/fakes/fleet_schedule.h
@@ -42,7 +42,7 @@
   /// hosts.
   IsolateFromControl,
   /// The process of a control host is suspended.
-  Freeze,
+  Suspend,
   /// A control host's disk completes no sync for a while.
   StallDisk,
   /// The settings of all hosts name other seeds from their next start on.
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -260,8 +260,8 @@
       case FleetFault::IsolateFromControl:
         IsolateFromControl(aStep.mSelector, aStep.mDuration);
         break;
-      case FleetFault::Freeze:
-        Freeze(SelectControlHost(aStep.mSelector), aStep.mDuration);
+      case FleetFault::Suspend:
+        Suspend(SelectControlHost(aStep.mSelector), aStep.mDuration);
         break;
       case FleetFault::StallDisk:
         StallDisk(SelectControlHost(aStep.mSelector), aStep.mDuration);
@@ -427,11 +427,11 @@
              mPartitionedHalf.count(aSent.mTo);
   }
 
-  void Freeze(const std::string& aHost, Micros aDuration)
+  void Suspend(const std::string& aHost, Micros aDuration)
   {
     Log(aHost, "is suspended");
-    mSimulation.mFrozen.insert(aHost);
-    RunLater(aDuration, [this, aHost] { mSimulation.mFrozen.erase(aHost); });
+    mSimulation.mSuspended.insert(aHost);
+    RunLater(aDuration, [this, aHost] { mSimulation.mSuspended.erase(aHost); });
   }
 
   void StallDisk(const std::string& aHost, Micros aDuration)
@@ -471,7 +471,7 @@
       return;
     }
     const std::string& host = hosts[++mNextHost % hosts.size()];
-    if (mSimulation.mFrozen.count(host) != 0) {
+    if (mSimulation.mSuspended.count(host) != 0) {
       return;
     }
     const std::uint64_t base = Node(host).mState.mCatalog.mVersion;
@@ -563,7 +563,7 @@
     mSimulation.mIsolated.clear();
     mPartitionedHalf.clear();
     mSimulation.mIsolatedFromControl.clear();
-    mSimulation.mFrozen.clear();
+    mSimulation.mSuspended.clear();
     mSimulation.mStalledDisks.clear();
     // Lets stops and starts that are under way complete.
     const Micros end = mSimulation.mNow + kStopTime + 3 * kSecond;
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -231,7 +231,7 @@
     if (!node.mAlive || node.mSettings.mIncarnation != sync.mIncarnation) {
       continue;
     }
-    if (mStalledDisks.count(sync.mAddress) + mFrozen.count(sync.mAddress) !=
+    if (mStalledDisks.count(sync.mAddress) + mSuspended.count(sync.mAddress) !=
         0) {
       mSyncs.emplace(mNow + kStepTime, sync);
       continue;
@@ -255,13 +255,13 @@
       const auto node = mNodes.find(sent.mTo);
       if (node != mNodes.end() && node->second.mAlive) {
         (void)node->second.mInbox.Put(sent.mMessage.SerializeAsString());
-        if (mFrozen.count(sent.mTo) == 0) {
+        if (mSuspended.count(sent.mTo) == 0) {
           ProcessInbox(sent.mTo, node->second);
         }
       }
     }
     for (auto& [address, node] : mNodes) {
-      if (mFrozen.count(address) != 0) {
+      if (mSuspended.count(address) != 0) {
         continue;
       }
       if (node.mAlive && HasProcessorTime(node) &&
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -140,7 +140,7 @@
   /// Hosts that cannot exchange messages with hosts that have a disk.
   std::set<std::string> mIsolatedFromControl;
   /// Hosts whose process is suspended; messages to them are queued.
-  std::set<std::string> mFrozen;
+  std::set<std::string> mSuspended;
   /// Hosts whose disks complete no sync.
   std::set<std::string> mStalledDisks;
   /// Messages for which this returns true are dropped.
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -31,7 +31,7 @@
   return std::to_string(node.mAlive ? node.mSettings.mIncarnation : 0) +
          (node.mState.mStopping ? " stops" : "") +
          (mSimulation.mIsolated.count(aAddress) != 0 ? " cut" : "") +
-         (mSimulation.mFrozen.count(aAddress) != 0 ? " frozen" : "") +
+         (mSimulation.mSuspended.count(aAddress) != 0 ? " frozen" : "") +
          (mSimulation.mStalledDisks.count(aAddress) != 0 ? " stalled" : "") +
          (mSimulation.mIsolatedFromControl.count(aAddress) != 0
             ? " cut from control"
@@ -42,7 +42,7 @@
 {
   return mSimulation.At(aAddress).mAlive &&
          mSimulation.mIsolated.count(aAddress) == 0 &&
-         mSimulation.mFrozen.count(aAddress) == 0 &&
+         mSimulation.mSuspended.count(aAddress) == 0 &&
          mSimulation.mStalledDisks.count(aAddress) == 0;
 }
 
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -63,7 +63,7 @@
   if (mSimulation.mNow >= mNextAt && !aHosts.empty()) {
     mNextAt = mSimulation.mNow + kReadInterval;
     const std::string& host = aHosts[mRandom() % aHosts.size()];
-    if (mSimulation.mFrozen.count(host) == 0) {
+    if (mSimulation.mSuspended.count(host) == 0) {
       Send(host, aAcknowledged);
     }
   }
--- a/tests/fleet_word_test.cpp
+++ b/tests/fleet_word_test.cpp
@@ -90,7 +90,7 @@
     for (const int dataCentres : { 3, 1 }) {
       for (const HostFault trouble : { HostFault::None,
                                        HostFault::IsolatedFromControl,
-                                       HostFault::Frozen,
+                                       HostFault::Suspended,
                                        HostFault::LosePower }) {
         for (const int percent : { 0, 40 }) {
           const int others = dataCentres == 1 ? 180 : 94;
