--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -3,15 +3,13 @@
 //
 //   member_search --seeds N [--first S]   a fixed range of seeds
 //   member_search --seconds N             as many seeds as fit into N seconds
-//   member_search --reads 1               with policy reads during the
-//   schedules member_search --plant sync|size|read  an injected defect that
-//   must be found member_search --show S                the minimised schedule
-//   of a seed, with
-//                                         its log
+//   member_search --reads 1               with policy reads in the schedules
+//   member_search --plant sync|size|read  an injected defect that must be found
+//   member_search --show S                minimises and runs a seed's schedule
 //   member_search --file F                a schedule read from a file
-//                                         (--show and --file exit with 1 if a
-//                                         guarantee is violated, and print
-//                                         the violation first)
+//                                         (--show and --file print the violated
+//                                         guarantee, the schedule and its log,
+//                                         and exit with 1 after a violation)
 //   member_search --times N               time until the group tolerates its
 //                                         configured losses again after a voter
 //                                         left, over N seeds
@@ -37,9 +35,10 @@
   return schedule;
 }
 
-int Report(const fakes::FleetSchedule& aSchedule, const std::string& aFault)
+int ReportViolation(const fakes::FleetSchedule& aSchedule,
+                    const std::string& aViolation)
 {
-  std::cout << "seed " << aSchedule.mSeed << ": " << aFault << "\n";
+  std::cout << "seed " << aSchedule.mSeed << ": " << aViolation << "\n";
   const fakes::FleetSchedule smallest = fakes::ShrinkFleetSchedule(aSchedule);
   std::cout << "smallest: " << fakes::RunFleetSchedule(smallest) << "\n"
             << fakes::Describe(smallest) << std::flush;
@@ -47,18 +46,19 @@
 }
 
 // Prints the violated guarantee, if any, then the steps and the log.
-int Show(const fakes::FleetSchedule& aSchedule)
+int PrintRun(const fakes::FleetSchedule& aSchedule)
 {
-  const std::string fault = fakes::RunFleetSchedule(aSchedule);
-  std::cout << (fault.empty() ? "no violation" : "violation: " + fault) << "\n"
+  const std::string violation = fakes::RunFleetSchedule(aSchedule);
+  std::cout << (violation.empty() ? "no violation" : "violation: " + violation)
+            << "\n"
             << fakes::Describe(aSchedule);
   (void)fakes::RunFleetSchedule(aSchedule, &std::cout);
   std::cout << std::flush;
-  return fault.empty() ? 0 : 1;
+  return violation.empty() ? 0 : 1;
 }
 
-/// \brief How a voter leaves.
-enum class Leaving
+/// \brief How a voter leaves the group.
+enum class Departure
 {
   Stops,
   FallsSilent
@@ -66,7 +66,9 @@
 
 // Time until a group with one spare voter has removed the voter that left and
 // tolerates its configured losses again; a minute if it never does.
-Micros TimeUntilWhole(std::uint64_t aSeed, int aTolerated, Leaving aLeaving)
+Micros TimeUntilRecovered(std::uint64_t aSeed,
+                          int aTolerated,
+                          Departure aDeparture)
 {
   const int disks = 2 * aTolerated + 2;
   fakes::FleetSimulation simulation(aSeed);
@@ -76,36 +78,37 @@
                             [&] { return simulation.Voters() == voters; });
   simulation.Advance(2 * kSecond);
   const int number = 1 + static_cast<int>(aSeed % voters);
-  const std::string leaves = "10.0.0." + std::to_string(number) + ":1";
-  if (aLeaving == Leaving::Stops) {
-    simulation.Stop(leaves);
+  const std::string departing = "10.0.0." + std::to_string(number) + ":1";
+  if (aDeparture == Departure::Stops) {
+    simulation.Stop(departing);
   } else {
-    simulation.LosePower(leaves);
+    simulation.LosePower(departing);
   }
   const Micros start = simulation.mNow;
   (void)simulation.RunUntil(60 * kSecond, [&] {
     const std::string leader = simulation.Leader();
-    const auto whole = [&](const fleet::State& aState) {
+    const auto recovered = [&](const fleet::State& aState) {
       const consensus::State& group = aState.mGroup;
-      return leader != leaves && group.mCommit >= group.mMembershipIndex &&
+      return leader != departing && group.mCommit >= group.mMembershipIndex &&
              simulation.Voters() == voters - 1 &&
              fleet::HealthOf(aState, simulation.mNow).mTolerated >= aTolerated;
     };
-    return !leader.empty() && whole(simulation.Node(leader).mState);
+    return !leader.empty() && recovered(simulation.Node(leader).mState);
   });
   return simulation.mNow - start;
 }
 
 void PrintTimes(std::uint64_t aSeeds)
 {
-  for (const Leaving leaving : { Leaving::Stops, Leaving::FallsSilent }) {
+  for (const Departure departure :
+       { Departure::Stops, Departure::FallsSilent }) {
     for (const int tolerated : { 1, 2 }) {
       std::vector<Micros> times;
       for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
-        times.push_back(TimeUntilWhole(seed, tolerated, leaving));
+        times.push_back(TimeUntilRecovered(seed, tolerated, departure));
       }
       std::sort(times.begin(), times.end());
-      std::cout << (leaving == Leaving::Stops ? "stops" : "falls silent")
+      std::cout << (departure == Departure::Stops ? "stops" : "falls silent")
                 << ", voters " << 2 * tolerated + 2 << ": median_ms "
                 << times[times.size() / 2] / kMillisecond << " longest_ms "
                 << times.back() / kMillisecond << "\n";
@@ -130,10 +133,10 @@
       std::cerr << schedule.error().mMessage << "\n";
       return 2;
     }
-    return Show(schedule.value());
+    return PrintRun(schedule.value());
   }
   if (options.Number("show", 0) > 0) {
-    return Show(fakes::ShrinkFleetSchedule(
+    return PrintRun(fakes::ShrinkFleetSchedule(
       MakeSchedule(static_cast<std::uint64_t>(options.Number("show", 0)),
                    options.Number("reads", 0) != 0,
                    fakes::FleetDefect::None)));
@@ -142,31 +145,32 @@
   const auto seeds = static_cast<std::uint64_t>(options.Number("seeds", 0));
   const auto seconds = options.Number("seconds", 10);
   const auto start = std::chrono::steady_clock::now();
-  const std::optional<fakes::FleetDefect> plant =
+  const std::optional<fakes::FleetDefect> defect =
     fakes::ParseFleetDefect(options.Text("plant", "none"));
-  if (!plant) {
+  if (!defect) {
     std::cerr << "--plant: one of none, sync, size, read\n";
     return 2;
   }
-  const bool planted = *plant != fakes::FleetDefect::None;
-  std::uint64_t played = 0;
-  int broken = 0;
-  const auto goesOn = [&] {
-    return seeds > 0 ? played < seeds
+  const bool injected = *defect != fakes::FleetDefect::None;
+  std::uint64_t schedulesRun = 0;
+  int violations = 0;
+  const auto hasMore = [&] {
+    return seeds > 0 ? schedulesRun < seeds
                      : std::chrono::steady_clock::now() - start <
                          std::chrono::seconds(static_cast<long>(seconds));
   };
-  for (; goesOn(); ++played) {
-    const std::uint64_t seed = first + played;
+  for (; hasMore(); ++schedulesRun) {
+    const std::uint64_t seed = first + schedulesRun;
     const fakes::FleetSchedule schedule =
-      MakeSchedule(seed, options.Number("reads", 0) != 0, *plant);
-    const std::string fault = fakes::RunFleetSchedule(schedule);
-    if (planted && !fault.empty()) {
-      std::cout << "found at seed " << seed << ": " << fault << std::endl;
+      MakeSchedule(seed, options.Number("reads", 0) != 0, *defect);
+    const std::string violation = fakes::RunFleetSchedule(schedule);
+    if (injected && !violation.empty()) {
+      std::cout << "found at seed " << seed << ": " << violation << std::endl;
       return 0;
     }
-    broken += fault.empty() ? 0 : Report(schedule, fault);
+    violations += violation.empty() ? 0 : ReportViolation(schedule, violation);
   }
-  std::cout << "schedules " << played << ", broken " << broken << std::endl;
-  return broken == 0 && !planted ? 0 : 1;
+  std::cout << "schedules " << schedulesRun << ", broken " << violations
+            << std::endl;
+  return violations == 0 && !injected ? 0 : 1;
 }
--- a/tests/fakes/change_propagation.h
+++ b/tests/fakes/change_propagation.h
@@ -43,7 +43,8 @@
 };
 
 /// \brief Starts a fleet and changes its policy `aChanges` times, each at a
-/// random moment, just before or just after the fault begins.
+/// random moment between two reports, just before or just after the fault
+/// begins.
 [[nodiscard]] ChangeMeasurement MeasureChanges(const ChangeScenario& aScenario,
                                                int aChanges,
                                                std::uint64_t aSeed);
