--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -15,42 +15,42 @@
 class FleetTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetTest);
-  CPPUNIT_TEST(SeedsAtAFirstStartFoundAGroupOfAllDisks);
-  CPPUNIT_TEST(FirstPolicyWithTooFewDisksWaits);
+  CPPUNIT_TEST(SeedsFoundAGroupOfAllHostsWithADisk);
+  CPPUNIT_TEST(FirstPolicyWaitsForEnoughDisks);
   CPPUNIT_TEST(CommittedPolicyReachesEveryHostInTime);
-  CPPUNIT_TEST(FollowersHearOfManyCommitsTogether);
-  CPPUNIT_TEST(FollowerThatMissedAPushTakesNoLaterCommandFirst);
-  CPPUNIT_TEST(FollowerFarBehindTakesASnapshot);
-  CPPUNIT_TEST(PolicyDoesNotWaitForASnapshotThatWasLost);
-  CPPUNIT_TEST(LeaderLostAnotherOneCommitsWithinSeconds);
-  CPPUNIT_TEST(WipedDiskIsANewMemberAndNothingIsLost);
-  CPPUNIT_TEST(WipedDiskWhoseSeedsDoNotLeadFindsTheLeader);
-  CPPUNIT_TEST(ReplacedHostTakesTheSilentMembersPlace);
-  CPPUNIT_TEST(MemberRemovedWhileCutOffJoinsAgain);
-  CPPUNIT_TEST(CutOffHostAcknowledgesNothing);
-  CPPUNIT_TEST(RacingChangesOnOneBaseHaveOneWinner);
+  CPPUNIT_TEST(ManyCommitsAreSentToFollowersInBatches);
+  CPPUNIT_TEST(FollowerThatMissedAPushAppliesCommandsInOrder);
+  CPPUNIT_TEST(FollowerFarBehindReceivesASnapshot);
+  CPPUNIT_TEST(PolicyArrivesThoughASnapshotWasLost);
+  CPPUNIT_TEST(NewLeaderCommitsWithinSecondsOfALeaderLoss);
+  CPPUNIT_TEST(HostWithAWipedDiskRejoinsAndNothingIsLost);
+  CPPUNIT_TEST(HostWithAWipedDiskFindsALeaderThatIsNoSeed);
+  CPPUNIT_TEST(ReplacementHostSucceedsTheLostVoter);
+  CPPUNIT_TEST(MemberRemovedWhileIsolatedRejoins);
+  CPPUNIT_TEST(IsolatedHostAcknowledgesNothing);
+  CPPUNIT_TEST(ConcurrentChangesOfOneBaseHaveOneWinner);
   CPPUNIT_TEST(ResentChangeIsAcknowledgedAfterRestartsAndSnapshots);
-  CPPUNIT_TEST(AnswerToAnEarlierLifesCommandAcknowledgesNothing);
-  CPPUNIT_TEST(AllKilledAtOnceAreBackWithWhatWasAcknowledged);
-  CPPUNIT_TEST(VotersThatAreBackElectWithoutWaitingForATimeout);
-  CPPUNIT_TEST(FollowersAreToldNothingOldAfterAllHostsWereKilled);
-  CPPUNIT_TEST(HostsOutOfTouchFollowAsSoonAsTheGroupIsBack);
-  CPPUNIT_TEST(StoppingHostLeavesEveryHostsListAtOnce);
+  CPPUNIT_TEST(ReplyToACommandOfAPreviousProcessIsIgnored);
+  CPPUNIT_TEST(AcknowledgedChangeSurvivesAKillOfAllHosts);
+  CPPUNIT_TEST(RestartedVotersElectWithoutAnElectionTimeout);
+  CPPUNIT_TEST(FollowersReceiveNoOldPolicyAfterAKillOfAllHosts);
+  CPPUNIT_TEST(DisconnectedHostsFollowOnceTheGroupIsBack);
+  CPPUNIT_TEST(StoppingHostIsRemovedFromAllHostListsAtOnce);
   CPPUNIT_TEST(FollowersOfAMinorityFindTheMajorityInTime);
-  CPPUNIT_TEST(EveryHostKnowsAllOthersThoughMessagesAreLost);
-  CPPUNIT_TEST(HostsOutOfTouchKeepCountingTheOthers);
+  CPPUNIT_TEST(EveryHostKnowsAllOthersDespiteMessageLoss);
+  CPPUNIT_TEST(DisconnectedHostsKeepCountingTheOthers);
   CPPUNIT_TEST(FollowersOfALostControlHostStayKnown);
-  CPPUNIT_TEST(CommitsGoOnWhileAnyOneHostIsSlowOrGone);
-  CPPUNIT_TEST(HostsWhoseSeedsKnowNothingAreFoundByTheGroup);
-  CPPUNIT_TEST(HostRestartedAloneWithFollowersAsSeedsIsReferred);
-  CPPUNIT_TEST(RestartedFollowersInACircleAreFoundByARunningGroup);
-  CPPUNIT_TEST(OldWordOfTheGroupNeverReplacesANewerOne);
-  CPPUNIT_TEST(GroupIntroducesItselfWithFewMessages);
-  CPPUNIT_TEST(AnyMixOfLossesAndSeedsEndsWithAllHostsServing);
+  CPPUNIT_TEST(CommitsContinueWhileAnyOneHostIsIsolated);
+  CPPUNIT_TEST(GroupFindsHostsWhoseSeedsDoNotKnowIt);
+  CPPUNIT_TEST(RestartedHostWithFollowersAsSeedsIsReferred);
+  CPPUNIT_TEST(GroupFindsRestartedFollowersThatAreEachOthersSeeds);
+  CPPUNIT_TEST(OldControlAddressesNeverReplaceNewerOnes);
+  CPPUNIT_TEST(GroupContactsLostHostsWithFewMessages);
+  CPPUNIT_TEST(AllHostsServeAfterRandomLossesAndSeedChanges);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void SeedsAtAFirstStartFoundAGroupOfAllDisks()
+  void SeedsFoundAGroupOfAllHostsWithADisk()
   {
     for (const int disks : { 1, 3, 4, 5, 8 }) {
       FleetSimulation simulation(static_cast<std::uint64_t>(disks));
@@ -61,7 +61,7 @@
     }
   }
 
-  void FirstPolicyWithTooFewDisksWaits()
+  void FirstPolicyWaitsForEnoughDisks()
   {
     FleetSimulation simulation;
     simulation.StartFleet(4, 0, 1);
@@ -86,7 +86,7 @@
 
   void CommittedPolicyReachesEveryHostInTime()
   {
-    Begin(4, 11, 1);
+    StartWithFirstPolicy(4, 11, 1);
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.9:1", PutPolicyCommand(7, 1, "next")));
     mSimulation.Advance(600 * kMillisecond);
@@ -97,9 +97,9 @@
 
   // A fleet's targets announce themselves within seconds: a message for each to
   // every follower kept the leader busy until it lost its lead.
-  void FollowersHearOfManyCommitsTogether()
+  void ManyCommitsAreSentToFollowersInBatches()
   {
-    Begin(3, 20, 1);
+    StartWithFirstPolicy(3, 20, 1);
     int pushes = 0;
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       pushes += aSent.mMessage.has_follow_reply() &&
@@ -125,9 +125,9 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(pushes), pushes <= 20 * (tenths + 8));
   }
 
-  void FollowerThatMissedAPushTakesNoLaterCommandFirst()
+  void FollowerThatMissedAPushAppliesCommandsInOrder()
   {
-    Begin(4, 2, 1);
+    StartWithFirstPolicy(4, 2, 1);
     const std::string follower = "10.0.0.6:1";
     // The push of one change is lost, the next one arrives.
     bool lost = false;
@@ -151,9 +151,9 @@
       mSimulation.Node(follower).mState.mCatalog.mTargets.size());
   }
 
-  void FollowerFarBehindTakesASnapshot()
+  void FollowerFarBehindReceivesASnapshot()
   {
-    Begin(3, 1, 0);
+    StartWithFirstPolicy(3, 1, 0);
     mSimulation.mIsolated = { "10.0.0.4:1" };
     // Random text, so that its deflated form is large as well.
     std::mt19937_64 random(5);
@@ -173,9 +173,9 @@
       3 * kSecond, [&] { return VersionAt("10.0.0.4:1") == 11; }));
   }
 
-  void PolicyDoesNotWaitForASnapshotThatWasLost()
+  void PolicyArrivesThoughASnapshotWasLost()
   {
-    Begin(3, 1, 0);
+    StartWithFirstPolicy(3, 1, 0);
     const std::string follower = "10.0.0.4:1";
     mSimulation.mIsolated = { follower };
     // So many commands that a snapshot is smaller.
@@ -203,9 +203,9 @@
     }));
   }
 
-  void LeaderLostAnotherOneCommitsWithinSeconds()
+  void NewLeaderCommitsWithinSecondsOfALeaderLoss()
   {
-    Begin(4, 2, 1);
+    StartWithFirstPolicy(4, 2, 1);
     const std::string lost = mSimulation.Leader();
     mSimulation.Kill(lost);
     const std::string other = "10.0.0.6:1";
@@ -214,7 +214,7 @@
     }));
   }
 
-  void WipedDiskIsANewMemberAndNothingIsLost()
+  void HostWithAWipedDiskRejoinsAndNothingIsLost()
   {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       FleetSimulation simulation(seed);
@@ -243,9 +243,9 @@
     }
   }
 
-  void WipedDiskWhoseSeedsDoNotLeadFindsTheLeader()
+  void HostWithAWipedDiskFindsALeaderThatIsNoSeed()
   {
-    Begin(4, 1, 1);
+    StartWithFirstPolicy(4, 1, 1);
     // 10.0.0.4 is no seed; it leads once the others have handed over.
     CPPUNIT_ASSERT(mSimulation.RunUntil(20 * kSecond, [&] {
       const std::string leader = mSimulation.Leader();
@@ -265,9 +265,9 @@
     }));
   }
 
-  void ReplacedHostTakesTheSilentMembersPlace()
+  void ReplacementHostSucceedsTheLostVoter()
   {
-    Begin(4, 1, 1);
+    StartWithFirstPolicy(4, 1, 1);
     for (int round = 0; round < 3; ++round) {
       const std::string lost = "10.0.0." + std::to_string(round + 1) + ":1";
       const std::string next = "10.0.1." + std::to_string(round + 1) + ":1";
@@ -286,9 +286,9 @@
     }
   }
 
-  void MemberRemovedWhileCutOffJoinsAgain()
+  void MemberRemovedWhileIsolatedRejoins()
   {
-    Begin(4, 1, 1);
+    StartWithFirstPolicy(4, 1, 1);
     const std::string cut = mSimulation.Leader();
     mSimulation.mIsolated = { cut };
     mSimulation.Advance(4 * kSecond);
@@ -302,9 +302,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), mSimulation.Voters());
   }
 
-  void CutOffHostAcknowledgesNothing()
+  void IsolatedHostAcknowledgesNothing()
   {
-    Begin(4, 2, 1);
+    StartWithFirstPolicy(4, 2, 1);
     for (const std::string& address :
          { std::string("10.0.0.6:1"), mSimulation.Leader() }) {
       mSimulation.mIsolated = { address };
@@ -315,9 +315,9 @@
     }
   }
 
-  void RacingChangesOnOneBaseHaveOneWinner()
+  void ConcurrentChangesOfOneBaseHaveOneWinner()
   {
-    Begin(4, 4, 1);
+    StartWithFirstPolicy(4, 4, 1);
     std::vector<std::pair<std::string, std::uint64_t>> submitted;
     for (int i = 5; i <= 8; ++i) {
       const std::string address = "10.0.0." + std::to_string(i) + ":1";
@@ -340,7 +340,7 @@
 
   void ResentChangeIsAcknowledgedAfterRestartsAndSnapshots()
   {
-    Begin(3, 1, 0);
+    StartWithFirstPolicy(3, 1, 0);
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "two")));
     for (std::uint64_t i = 1; i <= 300; ++i) {
@@ -361,7 +361,7 @@
   }
 
   // Guards against a change that is acknowledged by the answer to another one.
-  void AnswerToAnEarlierLifesCommandAcknowledgesNothing()
+  void ReplyToACommandOfAPreviousProcessIsIgnored()
   {
     FleetSimulation simulation(7);
     simulation.StartFleet(3, 2, 1);
@@ -381,9 +381,9 @@
     CPPUNIT_ASSERT(output.mDone.empty());
   }
 
-  void AllKilledAtOnceAreBackWithWhatWasAcknowledged()
+  void AcknowledgedChangeSurvivesAKillOfAllHosts()
   {
-    Begin(4, 3, 1);
+    StartWithFirstPolicy(4, 3, 1);
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.7:1", PutPolicyCommand(2, 1, "two")));
     for (const std::string& address : mSimulation.Addresses()) {
@@ -399,7 +399,7 @@
 
   // From a quorum being up to all hosts served: 226 ms at the worst of 20 seeds
   // with a quarter of the usual timeout, 54 ms now.
-  void VotersThatAreBackElectWithoutWaitingForATimeout()
+  void RestartedVotersElectWithoutAnElectionTimeout()
   {
     Micros worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -432,9 +432,9 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst < 150 * kMillisecond);
   }
 
-  void FollowersAreToldNothingOldAfterAllHostsWereKilled()
+  void FollowersReceiveNoOldPolicyAfterAKillOfAllHosts()
   {
-    Begin(3, 6, 1);
+    StartWithFirstPolicy(3, 6, 1);
     // A snapshot holds the first policy, the log behind it the second one.
     for (int target = 0; target < 230; ++target) {
       CPPUNIT_ASSERT(mSimulation.Commit(
@@ -470,9 +470,9 @@
     }
   }
 
-  void HostsOutOfTouchFollowAsSoonAsTheGroupIsBack()
+  void DisconnectedHostsFollowOnceTheGroupIsBack()
   {
-    Begin(3, 6, 1);
+    StartWithFirstPolicy(3, 6, 1);
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Kill(address);
     }
@@ -493,30 +493,30 @@
     }
   }
 
-  void StoppingHostLeavesEveryHostsListAtOnce()
+  void StoppingHostIsRemovedFromAllHostListsAtOnce()
   {
-    Begin(4, 4, 1);
+    StartWithFirstPolicy(4, 4, 1);
     for (const std::string& address : mSimulation.Addresses()) {
       Output output;
       SetReady(
         mSimulation.Node(address).mState, mSimulation.mNow, true, output);
     }
     mSimulation.Advance(2 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(8), ReadyAt("10.0.0.5:1"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(8), ReadyHostsSeenBy("10.0.0.5:1"));
     for (const std::string& address :
          { std::string("10.0.0.8:1"), mSimulation.Leader() }) {
       Output output;
-      const std::size_t before = ReadyAt("10.0.0.5:1");
+      const std::size_t before = ReadyHostsSeenBy("10.0.0.5:1");
       BeginStop(mSimulation.Node(address).mState, mSimulation.mNow, output);
       mSimulation.Advance(kSecond);
-      CPPUNIT_ASSERT_EQUAL(before - 1, ReadyAt("10.0.0.5:1"));
+      CPPUNIT_ASSERT_EQUAL(before - 1, ReadyHostsSeenBy("10.0.0.5:1"));
     }
   }
 
   // With one control host asked after the other it took up to four seconds.
   void FollowersOfAMinorityFindTheMajorityInTime()
   {
-    Begin(5, 20, 2);
+    StartWithFirstPolicy(5, 20, 2);
     const std::set<std::string> minority = { "10.0.0.1:1", "10.0.0.2:1" };
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const bool control = mSimulation.Node(aSent.mFrom).mSettings.mControl &&
@@ -536,7 +536,7 @@
     }
   }
 
-  void EveryHostKnowsAllOthersThoughMessagesAreLost()
+  void EveryHostKnowsAllOthersDespiteMessageLoss()
   {
     std::mt19937_64 random(3);
     mSimulation.mShouldDrop = [&](const fakes::SentMessage&) {
@@ -553,9 +553,9 @@
   }
 
   // Each host once took all of a shared bound while the group was cut in two.
-  void HostsOutOfTouchKeepCountingTheOthers()
+  void DisconnectedHostsKeepCountingTheOthers()
   {
-    Begin(4, 6, 1);
+    StartWithFirstPolicy(4, 6, 1);
     mSimulation.mIsolated = { "10.0.0.1:1", "10.0.0.2:1" };
     mSimulation.Advance(8 * kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
@@ -567,10 +567,10 @@
 
   void FollowersOfALostControlHostStayKnown()
   {
-    // At any point between the reports.
+    // At randomAddress point between the reports.
     for (int offset = 0; offset < 8; ++offset) {
       mSimulation = FleetSimulation(static_cast<std::uint64_t>(offset + 1));
-      Begin(4, 11, 1);
+      StartWithFirstPolicy(4, 11, 1);
       mSimulation.Advance(3 * kSecond + offset * 150 * kMillisecond);
       const std::string dead =
         "10.0.0." + std::to_string(1 + offset % 4) + ":1";
@@ -588,9 +588,9 @@
     }
   }
 
-  void CommitsGoOnWhileAnyOneHostIsSlowOrGone()
+  void CommitsContinueWhileAnyOneHostIsIsolated()
   {
-    Begin(4, 1, 1);
+    StartWithFirstPolicy(4, 1, 1);
     std::uint64_t version = 1;
     for (const char* address :
          { "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1" }) {
@@ -607,9 +607,9 @@
 
   // All hosts lose power and one voter its disk; the seeds had been exchanged
   // for hosts without a disk before.
-  void HostsWhoseSeedsKnowNothingAreFoundByTheGroup()
+  void GroupFindsHostsWhoseSeedsDoNotKnowIt()
   {
-    Begin(3, 16, 1);
+    StartWithFirstPolicy(3, 16, 1);
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Kill(address);
     }
@@ -625,9 +625,9 @@
       mSimulation.RunUntil(6 * kSecond, [&] { return IsVoter("10.0.0.2:1"); }));
   }
 
-  void HostRestartedAloneWithFollowersAsSeedsIsReferred()
+  void RestartedHostWithFollowersAsSeedsIsReferred()
   {
-    Begin(3, 6, 1);
+    StartWithFirstPolicy(3, 6, 1);
     mSimulation.ReplaceSeeds({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
     mSimulation.Kill("10.0.0.9:1");
     mSimulation.Advance(200 * kMillisecond);
@@ -636,9 +636,9 @@
   }
 
   // The voters run on with the seeds that they were started with.
-  void RestartedFollowersInACircleAreFoundByARunningGroup()
+  void GroupFindsRestartedFollowersThatAreEachOthersSeeds()
   {
-    Begin(3, 6, 1);
+    StartWithFirstPolicy(3, 6, 1);
     mSimulation.ReplaceSeeds({ "10.0.0.5:1", "10.0.0.6:1", "10.0.0.7:1" });
     for (int host = 4; host <= 9; ++host) {
       mSimulation.Kill("10.0.0." + std::to_string(host) + ":1");
@@ -651,9 +651,9 @@
       mSimulation.RunUntil(3 * kSecond, [&] { return AllServe(1); }));
   }
 
-  void OldWordOfTheGroupNeverReplacesANewerOne()
+  void OldControlAddressesNeverReplaceNewerOnes()
   {
-    Begin(3, 3, 1);
+    StartWithFirstPolicy(3, 3, 1);
     FleetNode& node = mSimulation.Node("10.0.0.6:1");
     const std::vector<std::string> known = node.mState.mControlAddresses;
     CPPUNIT_ASSERT(node.mState.mControlDate.mTerm > 0);
@@ -662,27 +662,27 @@
     wire::FollowReply& reply = *message.mutable_follow_reply();
     reply.set_brief(true);
     reply.add_control_addresses("10.0.0.99:1");
-    const auto tell = [&](std::uint64_t aTerm, std::uint64_t aIndex) {
+    const auto deliver = [&](std::uint64_t aTerm, std::uint64_t aIndex) {
       reply.set_control_term(aTerm);
       reply.set_control_index(aIndex);
       Output output;
       Receive(node.mState, mSimulation.mNow, 1, message, output);
     };
     const ControlDate date = node.mState.mControlDate;
-    tell(date.mTerm - 1, date.mIndex + 1000);
-    tell(date.mTerm, date.mIndex - 1);
-    tell(0, 0);
+    deliver(date.mTerm - 1, date.mIndex + 1000);
+    deliver(date.mTerm, date.mIndex - 1);
+    deliver(0, 0);
     CPPUNIT_ASSERT(known == node.mState.mControlAddresses);
-    tell(date.mTerm, date.mIndex + 1);
+    deliver(date.mTerm, date.mIndex + 1);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.99:1"),
                          node.mState.mControlAddresses.front());
   }
 
   // With all hosts there nobody needs to be told; of many lost ones each voter
   // tries a few at a time.
-  void GroupIntroducesItselfWithFewMessages()
+  void GroupContactsLostHostsWithFewMessages()
   {
-    Begin(3, 40, 1);
+    StartWithFirstPolicy(3, 40, 1);
     int introduced = 0;
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       introduced += aSent.mMessage.has_follow_reply() &&
@@ -703,17 +703,17 @@
 
   // Starts, wipes, exchanged seeds and cuts at random; once they end, every
   // host holds the newest policy within seconds.
-  void AnyMixOfLossesAndSeedsEndsWithAllHostsServing()
+  void AllHostsServeAfterRandomLossesAndSeedChanges()
   {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
-        "seed " + std::to_string(seed), std::string(), PlayLosses(seed));
+        "seed " + std::to_string(seed), std::string(), RunRandomLosses(seed));
     }
   }
 
 private:
   // What is wrong after a random schedule of losses; empty when nothing is.
-  static std::string PlayLosses(std::uint64_t aSeed)
+  static std::string RunRandomLosses(std::uint64_t aSeed)
   {
     FleetSimulation simulation(aSeed);
     std::mt19937_64 random(aSeed);
@@ -727,7 +727,7 @@
     if (!simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
       return "no first policy";
     }
-    const auto any = [&] {
+    const auto randomAddress = [&] {
       return "10.0.0." + std::to_string(1 + below(hosts)) + ":1";
     };
     std::set<std::string> down;
@@ -735,7 +735,8 @@
     for (int step = 0; step < 6; ++step) {
       switch (below(5)) {
         case 0:
-          simulation.ReplaceSeeds({ any(), any(), any() });
+          simulation.ReplaceSeeds(
+            { randomAddress(), randomAddress(), randomAddress() });
           break;
         case 1:
           for (const std::string& address : simulation.Addresses()) {
@@ -745,13 +746,13 @@
           break;
         case 2:
           for (int i = 0; i < hosts / 2; ++i) {
-            const std::string address = any();
+            const std::string address = randomAddress();
             simulation.Kill(address);
             down.insert(address);
           }
           break;
         case 3: {
-          const std::string address = any();
+          const std::string address = randomAddress();
           const bool another = wiped;
           simulation.Kill(address);
           down.insert(address);
@@ -762,7 +763,7 @@
           break;
         }
         default:
-          simulation.mIsolated.insert(any());
+          simulation.mIsolated.insert(randomAddress());
           break;
       }
       simulation.Advance(below(1500) * kMillisecond);
@@ -806,7 +807,7 @@
   }
 
   // A fleet whose disks all vote, with version 1 in force.
-  void Begin(int aDisks, int aOthers, int aTolerated)
+  void StartWithFirstPolicy(int aDisks, int aOthers, int aTolerated)
   {
     mSimulation.StartFleet(aDisks, aOthers, aTolerated);
     WaitForVoters(mSimulation, static_cast<std::size_t>(aDisks));
@@ -820,7 +821,7 @@
     return mSimulation.Node(aAddress).mState.mCatalog.mVersion;
   }
 
-  std::size_t ReadyAt(const std::string& aAddress)
+  std::size_t ReadyHostsSeenBy(const std::string& aAddress)
   {
     return ReadyHosts(mSimulation.Node(aAddress).mState, mSimulation.mNow)
       .size();
