--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -14,16 +14,16 @@
 /// A host that was told to stop ends after this time.
 constexpr Micros kStopTime = 4 * kSecond;
 /// In this time all hosts serve again after the last fault.
-constexpr Micros kBackTime = 8 * kSecond;
+constexpr Micros kRecoveryTime = 8 * kSecond;
 /// In this time a group is whole again after a voter fell silent for good.
-constexpr Micros kWholeTime = 4 * kSecond;
+constexpr Micros kMembershipRepairTime = 4 * kSecond;
 
 std::string FounderAddress(int aNumber)
 {
   return "10.0.0." + std::to_string(aNumber) + ":1";
 }
 
-constexpr const char* kNewcomer = "10.0.1.1:1";
+constexpr const char* kNewHost = "10.0.1.1:1";
 /// A host without a disk beside three that have one, and beside six.
 constexpr const char* kFollower = "10.0.0.5:1";
 constexpr const char* kReader = "10.0.0.8:1";
@@ -49,48 +49,48 @@
 class FleetMembersTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetMembersTest);
-  CPPUNIT_TEST(HostReplacedAsPlannedThenOneDiskAndAllPowerLostKeepsTheChange);
-  CPPUNIT_TEST(HostReplacedAsPlannedThenOneDiskLostKeepsCommitting);
-  CPPUNIT_TEST(ChangeSentJustBeforeTheLossIsKeptIfItWasAcknowledged);
-  CPPUNIT_TEST(HostsReplacedInARowLeaveAWholeGroup);
+  CPPUNIT_TEST(PlannedReplacementThenDiskAndPowerLossKeepsTheChange);
+  CPPUNIT_TEST(PlannedReplacementThenDiskLossKeepsCommitting);
+  CPPUNIT_TEST(ChangeJustBeforeThePowerLossIsKeptIfAcknowledged);
+  CPPUNIT_TEST(SuccessiveReplacementsKeepTheVoterCount);
   CPPUNIT_TEST(TwoOfSixReplacedThenTwoDisksLostKeepsTheChange);
-  CPPUNIT_TEST(NewcomerThatGoesAgainLeavesTheGroupAsItWas);
-  CPPUNIT_TEST(NewcomerThatGoesBesideAGoneVoterLeavesTheGroupAsItWas);
-  CPPUNIT_TEST(LeaderWithoutAVoteHandsItsLeadOver);
-  CPPUNIT_TEST(VoterThatStopsLeavesBeforeItExits);
-  CPPUNIT_TEST(VoterSilentForGoodLeavesWhereOthersAreEnough);
-  CPPUNIT_TEST(GroupNeverShrinksBelowWhatLossesNeed);
-  CPPUNIT_TEST(VoterThatIsNotMissedKeepsItsVoteForAWhile);
+  CPPUNIT_TEST(FailedJoinDoesNotCostTheQuorum);
+  CPPUNIT_TEST(FailedJoinBesideALostVoterDoesNotCostTheQuorum);
+  CPPUNIT_TEST(LeaderThatIsNoVoterTransfersLeadership);
+  CPPUNIT_TEST(StoppingVoterIsRemovedBeforeItExits);
+  CPPUNIT_TEST(LostVoterIsRemovedIfEnoughOthersRemain);
+  CPPUNIT_TEST(GroupNeverShrinksBelowItsConfiguredTolerance);
+  CPPUNIT_TEST(SpareVoterIsRemovedOnlyAfterADelay);
   CPPUNIT_TEST(RestartedVotersAreVotersAgain);
-  CPPUNIT_TEST(TwoHostsReplacedAtOnceLeaveAWholeGroup);
-  CPPUNIT_TEST(HostReplacedWhileTheLeaderIsCutOffLeavesAWholeGroup);
-  CPPUNIT_TEST(LearnerThatNeverCatchesUpIsForgotten);
-  CPPUNIT_TEST(HostBackWithItsDiskAfterItWasForgottenJoinsAgain);
-  CPPUNIT_TEST(JoinThatNamesNoDiskOrAnothersIsRefused);
-  CPPUNIT_TEST(StoppingHostDoesNotJoinAgain);
-  CPPUNIT_TEST(HostsThatAreGoneAreForgotten);
-  CPPUNIT_TEST(GroupThatToleratesLessIsLoggedAndCounted);
-  CPPUNIT_TEST(DiskAtAStartIsLogged);
+  CPPUNIT_TEST(TwoHostsReplacedAtOnceKeepTheVoterCount);
+  CPPUNIT_TEST(HostReplacedWhileTheLeaderIsIsolatedKeepsTheVoterCount);
+  CPPUNIT_TEST(LearnerThatNeverCatchesUpIsRemoved);
+  CPPUNIT_TEST(RemovedHostThatReturnsWithItsDiskRejoins);
+  CPPUNIT_TEST(JoinWithoutADiskOrWithAnotherOneIsRefused);
+  CPPUNIT_TEST(StoppingHostDoesNotRejoin);
+  CPPUNIT_TEST(LostHostsAreRemovedFromHostLists);
+  CPPUNIT_TEST(ReducedFaultToleranceIsLoggedAndCounted);
+  CPPUNIT_TEST(DiskIsLoggedAtStart);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostReplacedAsPlannedThenOneDiskAndAllPowerLostKeepsTheChange()
+  void PlannedReplacementThenDiskAndPowerLossKeepsTheChange()
   {
-    for (int leaves = 1; leaves <= 3; ++leaves) {
-      for (const std::string& wiped : OthersThan(leaves)) {
-        FleetSimulation simulation = Replaced(leaves);
+    for (int departing = 1; departing <= 3; ++departing) {
+      for (const std::string& wiped : OthersThan(departing)) {
+        FleetSimulation simulation = FleetWithReplacedFounder(departing);
         CPPUNIT_ASSERT(
           simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
-        LoseAllPower(simulation, leaves, wiped);
-        AssertServes(simulation, leaves, 2, "wiped " + wiped);
+        LoseAllPower(simulation, departing, wiped);
+        AssertServes(simulation, departing, 2, "wiped " + wiped);
       }
     }
   }
 
-  void HostReplacedAsPlannedThenOneDiskLostKeepsCommitting()
+  void PlannedReplacementThenDiskLossKeepsCommitting()
   {
     for (const std::string& wiped : OthersThan(1)) {
-      FleetSimulation simulation = Replaced(1);
+      FleetSimulation simulation = FleetWithReplacedFounder(1);
       CPPUNIT_ASSERT(
         simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
       simulation.LosePower(wiped);
@@ -103,11 +103,11 @@
     }
   }
 
-  void ChangeSentJustBeforeTheLossIsKeptIfItWasAcknowledged()
+  void ChangeJustBeforeThePowerLossIsKeptIfAcknowledged()
   {
     for (int ms = 5; ms <= 400; ms += 79) {
       for (const std::string& wiped : OthersThan(1)) {
-        FleetSimulation simulation = Replaced(1);
+        FleetSimulation simulation = FleetWithReplacedFounder(1);
         const std::uint64_t id =
           simulation.Submit(kFollower, PutPolicyCommand(2, 1, "two"));
         simulation.Advance(ms * kMillisecond);
@@ -122,7 +122,7 @@
     }
   }
 
-  void HostsReplacedInARowLeaveAWholeGroup()
+  void SuccessiveReplacementsKeepTheVoterCount()
   {
     for (const int count : { 2, 4 }) {
       FleetSimulation simulation = StartedFleet();
@@ -130,12 +130,13 @@
                                            FounderAddress(2),
                                            FounderAddress(3) };
       for (int i = 0; i < count; ++i) {
-        const std::string next = "10.0.1." + std::to_string(i + 1) + ":1";
+        const std::string replacement =
+          "10.0.1." + std::to_string(i + 1) + ":1";
         simulation.SetSeeds(control);
-        Join(simulation, next);
-        Leave(simulation, control.front());
+        Join(simulation, replacement);
+        StopForGood(simulation, control.front());
         control.erase(control.begin());
-        control.push_back(next);
+        control.push_back(replacement);
       }
       CPPUNIT_ASSERT(
         simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
@@ -159,8 +160,8 @@
       { FounderAddress(3), FounderAddress(4), FounderAddress(5) });
     Join(simulation, "10.0.1.1:1");
     Join(simulation, "10.0.1.2:1");
-    Leave(simulation, FounderAddress(1));
-    Leave(simulation, FounderAddress(2));
+    StopForGood(simulation, FounderAddress(1));
+    StopForGood(simulation, FounderAddress(2));
     CPPUNIT_ASSERT(simulation.Commit(kReader, PutPolicyCommand(2, 1, "two")));
     for (const std::string& wiped : { FounderAddress(3), FounderAddress(6) }) {
       simulation.LosePower(wiped);
@@ -173,7 +174,7 @@
     wire::CatalogCommand read;
     read.mutable_read_barrier();
     CPPUNIT_ASSERT(simulation.RunUntil(
-      kBackTime, [&] { return simulation.Commit(kReader, read); }));
+      kRecoveryTime, [&] { return simulation.Commit(kReader, read); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2),
                          simulation.Node(kReader).mState.mCatalog.mVersion);
   }
@@ -186,30 +187,30 @@
   // why=caught_up voters=4", then "leader_lost members_silent_ms=" with two
   // members that fell silent before and after that change, and each election
   // ends with "voters=4 votes=2".
-  void NewcomerThatGoesAgainLeavesTheGroupAsItWas()
+  void FailedJoinDoesNotCostTheQuorum()
   {
     for (int lost = 1; lost <= 3; ++lost) {
       FleetSimulation simulation = StartedFleet();
       simulation.LosePower(FounderAddress(lost));
       simulation.Wipe(FounderAddress(lost));
       CPPUNIT_ASSERT(simulation.RunUntil(
-        kBackTime, [&] { return !simulation.Leader().empty(); }));
-      simulation.Add(kNewcomer, true);
-      simulation.Start(kNewcomer, false);
+        kRecoveryTime, [&] { return !simulation.Leader().empty(); }));
+      simulation.Add(kNewHost, true);
+      simulation.Start(kNewHost, false);
       simulation.Advance(700 * kMillisecond);
-      simulation.LosePower(kNewcomer);
+      simulation.LosePower(kNewHost);
       simulation.Start(FounderAddress(lost), false);
       CPPUNIT_ASSERT_MESSAGE(
-        FounderAddress(lost), simulation.RunUntil(kBackTime, [&] {
+        FounderAddress(lost), simulation.RunUntil(kRecoveryTime, [&] {
           return simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two"));
         }));
-      CPPUNIT_ASSERT(
-        simulation.RunUntil(kWholeTime, [&] { return IsWhole(simulation); }));
+      CPPUNIT_ASSERT(simulation.RunUntil(
+        kMembershipRepairTime, [&] { return ToleratesOneLoss(simulation); }));
     }
   }
 
   // Guards against a newcomer whose vote is needed from the moment it counts.
-  void NewcomerThatGoesBesideAGoneVoterLeavesTheGroupAsItWas()
+  void FailedJoinBesideALostVoterDoesNotCostTheQuorum()
   {
     for (Micros after = 2400 * kMillisecond; after < 2800 * kMillisecond;
          after += 4 * kMillisecond) {
@@ -217,12 +218,12 @@
       const std::string lost =
         FounderAddress(simulation.Leader() == FounderAddress(1) ? 2 : 1);
       simulation.LosePower(lost);
-      simulation.Add(kNewcomer, true);
-      simulation.Start(kNewcomer, false);
+      simulation.Add(kNewHost, true);
+      simulation.Start(kNewHost, false);
       simulation.Advance(after);
-      simulation.LosePower(kNewcomer);
+      simulation.LosePower(kNewHost);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(after / kMillisecond) + " ms",
-                             simulation.RunUntil(kBackTime, [&] {
+                             simulation.RunUntil(kRecoveryTime, [&] {
                                return simulation.Commit(
                                  kFollower, PutPolicyCommand(2, 1, "two"));
                              }));
@@ -234,46 +235,46 @@
   // without a word, and the group had none until another one's timeout, 780 ms
   // in a schedule that was searched ("leader_lost members_silent_ms=0,0,6,6" at
   // the leader itself, 34 ms after its election).
-  void LeaderWithoutAVoteHandsItsLeadOver()
+  void LeaderThatIsNoVoterTransfersLeadership()
   {
     int led = 0;
-    for (int ahead = 2; ahead <= 18; ahead += 2) {
-      const std::string without = FounderAddress(2);
+    for (int headStart = 2; headStart <= 18; headStart += 2) {
+      const std::string nonVoter = FounderAddress(2);
       FleetSimulation simulation =
-        StartedWithoutAVote(without, ahead * kMillisecond);
+        FleetStartedWithANonVoterFirst(nonVoter, headStart * kMillisecond);
       (void)simulation.RunUntil(100 * kMillisecond,
                                 [&] { return !simulation.Leader().empty(); });
-      if (simulation.Leader() != without) {
+      if (simulation.Leader() != nonVoter) {
         continue;
       }
       ++led;
       CPPUNIT_ASSERT(simulation.RunUntil(200 * kMillisecond, [&] {
-        return !simulation.Leader().empty() && simulation.Leader() != without;
+        return !simulation.Leader().empty() && simulation.Leader() != nonVoter;
       }));
     }
     CPPUNIT_ASSERT(led > 0);
   }
 
-  void VoterThatStopsLeavesBeforeItExits()
+  void StoppingVoterIsRemovedBeforeItExits()
   {
-    for (int leaves = 1; leaves <= 3; ++leaves) {
+    for (int departing = 1; departing <= 3; ++departing) {
       FleetSimulation simulation = StartedFleet();
-      Join(simulation, kNewcomer);
-      simulation.Stop(FounderAddress(leaves));
+      Join(simulation, kNewHost);
+      simulation.Stop(FounderAddress(departing));
       CPPUNIT_ASSERT(simulation.RunUntil(kStopTime, [&] {
         return simulation.Voters() == 3 &&
-               !IsVoter(simulation, FounderAddress(leaves));
+               !IsVoter(simulation, FounderAddress(departing));
       }));
     }
   }
 
-  void VoterSilentForGoodLeavesWhereOthersAreEnough()
+  void LostVoterIsRemovedIfEnoughOthersRemain()
   {
     for (int lost = 1; lost <= 3; ++lost) {
       FleetSimulation simulation = StartedFleet();
-      Join(simulation, kNewcomer);
+      Join(simulation, kNewHost);
       simulation.Kill(FounderAddress(lost));
-      CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
+      CPPUNIT_ASSERT(simulation.RunUntil(kMembershipRepairTime, [&] {
         return simulation.Voters() == 3 &&
                !IsVoter(simulation, FounderAddress(lost));
       }));
@@ -281,7 +282,7 @@
   }
 
   // With two voters the loss of one disk would leave the group stuck for good.
-  void GroupNeverShrinksBelowWhatLossesNeed()
+  void GroupNeverShrinksBelowItsConfiguredTolerance()
   {
     for (const bool planned : { false, true }) {
       FleetSimulation simulation = StartedFleet();
@@ -295,15 +296,15 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
       // The one that comes in its place makes the group whole.
       simulation.SetSeeds({ FounderAddress(1), FounderAddress(3) });
-      Join(simulation, kNewcomer);
-      CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
+      Join(simulation, kNewHost);
+      CPPUNIT_ASSERT(simulation.RunUntil(kMembershipRepairTime, [&] {
         return simulation.Voters() == 3 && !IsVoter(simulation, lost);
       }));
     }
   }
 
   // Of five with one away as many more may be lost as of four.
-  void VoterThatIsNotMissedKeepsItsVoteForAWhile()
+  void SpareVoterIsRemovedOnlyAfterADelay()
   {
     FleetSimulation simulation(7);
     simulation.StartFleet(5, 2, 1);
@@ -316,12 +317,12 @@
     simulation.Kill(lost);
     simulation.Advance(6 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), simulation.Voters());
-    CPPUNIT_ASSERT(simulation.RunUntil(kWholeTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kMembershipRepairTime, [&] {
       return simulation.Voters() == 4 && !IsVoter(simulation, lost);
     }));
     simulation.Start(lost, false);
     CPPUNIT_ASSERT(simulation.RunUntil(
-      kWholeTime, [&] { return IsVoter(simulation, lost); }));
+      kMembershipRepairTime, [&] { return IsVoter(simulation, lost); }));
   }
 
   void RestartedVotersAreVotersAgain()
@@ -339,17 +340,17 @@
         simulation.Advance(kSecond);
         simulation.Start(FounderAddress(i), false);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(disks),
-                               simulation.RunUntil(kWholeTime, [&] {
+                               simulation.RunUntil(kMembershipRepairTime, [&] {
                                  return simulation.Voters() == voters;
                                }));
       }
     }
   }
 
-  void TwoHostsReplacedAtOnceLeaveAWholeGroup()
+  void TwoHostsReplacedAtOnceKeepTheVoterCount()
   {
     FleetSimulation simulation = StartedFleet();
-    Join(simulation, kNewcomer);
+    Join(simulation, kNewHost);
     Join(simulation, "10.0.1.2:1");
     simulation.Stop(FounderAddress(1));
     simulation.Stop(FounderAddress(2));
@@ -364,63 +365,63 @@
       simulation.Commit("10.0.0.6:1", PutPolicyCommand(2, 1, "two")));
   }
 
-  void HostReplacedWhileTheLeaderIsCutOffLeavesAWholeGroup()
+  void HostReplacedWhileTheLeaderIsIsolatedKeepsTheVoterCount()
   {
     FleetSimulation simulation = StartedFleet();
     const std::string cut = simulation.Leader();
-    const std::string leaves =
+    const std::string departing =
       cut == FounderAddress(1) ? FounderAddress(2) : FounderAddress(1);
-    Join(simulation, kNewcomer);
+    Join(simulation, kNewHost);
     simulation.mIsolated = { cut };
-    simulation.Stop(leaves);
+    simulation.Stop(departing);
     simulation.Advance(kStopTime);
-    simulation.Kill(leaves);
+    simulation.Kill(departing);
     simulation.mIsolated.clear();
-    CPPUNIT_ASSERT(simulation.RunUntil(kBackTime, [&] {
-      return simulation.Voters() == 3 && !IsVoter(simulation, leaves);
+    CPPUNIT_ASSERT(simulation.RunUntil(kRecoveryTime, [&] {
+      return simulation.Voters() == 3 && !IsVoter(simulation, departing);
     }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
   }
 
-  void LearnerThatNeverCatchesUpIsForgotten()
+  void LearnerThatNeverCatchesUpIsRemoved()
   {
     FleetSimulation simulation = StartedFleet();
     simulation.mShouldDrop = [](const fakes::SentMessage& aSent) {
-      return aSent.mTo == kNewcomer;
+      return aSent.mTo == kNewHost;
     };
-    simulation.Add(kNewcomer, true);
-    simulation.Start(kNewcomer, false);
+    simulation.Add(kNewHost, true);
+    simulation.Start(kNewHost, false);
     simulation.Advance(2 * kSecond);
     CPPUNIT_ASSERT_EQUAL(4, Members(simulation));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
-    simulation.Kill(kNewcomer);
+    simulation.Kill(kNewHost);
     CPPUNIT_ASSERT(simulation.RunUntil(
       40 * kSecond, [&] { return Members(simulation) == 3; }));
   }
 
-  void HostBackWithItsDiskAfterItWasForgottenJoinsAgain()
+  void RemovedHostThatReturnsWithItsDiskRejoins()
   {
-    FleetSimulation simulation = Replaced(1);
+    FleetSimulation simulation = FleetWithReplacedFounder(1);
     CPPUNIT_ASSERT(simulation.RunUntil(
       40 * kSecond, [&] { return Members(simulation) == 3; }));
     CPPUNIT_ASSERT(simulation.Commit(kFollower, PutPolicyCommand(2, 1, "two")));
     simulation.Start(FounderAddress(1), false);
-    CPPUNIT_ASSERT(simulation.RunUntil(kBackTime, [&] {
+    CPPUNIT_ASSERT(simulation.RunUntil(kRecoveryTime, [&] {
       return IsVoter(simulation, FounderAddress(1)) &&
              simulation.Node(FounderAddress(1)).mState.mCatalog.mVersion == 2;
     }));
   }
 
-  void JoinThatNamesNoDiskOrAnothersIsRefused()
+  void JoinWithoutADiskOrWithAnotherOneIsRefused()
   {
     FleetSimulation simulation = StartedFleet();
     const std::string leader = simulation.Leader();
     for (const char* storage : { "", "disk2" }) {
       wire::FleetMessage message;
-      message.set_from_address(kNewcomer);
+      message.set_from_address(kNewHost);
       wire::Member& joiner = *message.mutable_join();
-      joiner.set_id(MemberId(kNewcomer, "disk1"));
-      joiner.set_address(kNewcomer);
+      joiner.set_id(MemberId(kNewHost, "disk1"));
+      joiner.set_address(kNewHost);
       joiner.set_storage(storage);
       fleet::Output output;
       fleet::Receive(
@@ -432,23 +433,23 @@
     CPPUNIT_ASSERT_EQUAL(3, Members(simulation));
   }
 
-  void StoppingHostDoesNotJoinAgain()
+  void StoppingHostDoesNotRejoin()
   {
     FleetSimulation simulation = StartedFleet();
-    Join(simulation, kNewcomer);
-    const std::string leaves = FounderAddress(2);
-    simulation.Stop(leaves);
+    Join(simulation, kNewHost);
+    const std::string departing = FounderAddress(2);
+    simulation.Stop(departing);
     bool joins = false;
     simulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
-      joins = joins || (aSent.mFrom == leaves && aSent.mMessage.has_join());
+      joins = joins || (aSent.mFrom == departing && aSent.mMessage.has_join());
       return false;
     };
     simulation.Advance(10 * kSecond);
     CPPUNIT_ASSERT(!joins);
-    CPPUNIT_ASSERT(!IsVoter(simulation, leaves));
+    CPPUNIT_ASSERT(!IsVoter(simulation, departing));
   }
 
-  void HostsThatAreGoneAreForgotten()
+  void LostHostsAreRemovedFromHostLists()
   {
     FleetSimulation simulation = StartedFleet();
     const std::string gone = "10.0.0.7:1";
@@ -464,7 +465,7 @@
     }
   }
 
-  void GroupThatToleratesLessIsLoggedAndCounted()
+  void ReducedFaultToleranceIsLoggedAndCounted()
   {
     FleetSimulation simulation = StartedFleet();
     const std::string leader = simulation.Leader();
@@ -477,28 +478,28 @@
     CPPUNIT_ASSERT_EQUAL(3, health.mVoters);
     CPPUNIT_ASSERT_EQUAL(2, health.mAnswering);
     CPPUNIT_ASSERT_EQUAL(0, health.mTolerated);
-    CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_weak"));
+    CPPUNIT_ASSERT(HasLogLine(simulation, leader, "event=group_weak"));
     simulation.Kill(leader == FounderAddress(1) ? FounderAddress(2)
                                                 : FounderAddress(1));
     simulation.Advance(5 * kSecond);
     CPPUNIT_ASSERT_EQUAL(-1, HealthOf(state, simulation.mNow).mTolerated);
-    CPPUNIT_ASSERT(HasNote(simulation, leader, "event=group_leaderless"));
+    CPPUNIT_ASSERT(HasLogLine(simulation, leader, "event=group_leaderless"));
   }
 
-  void DiskAtAStartIsLogged()
+  void DiskIsLoggedAtStart()
   {
     FleetSimulation simulation = StartedFleet();
     CPPUNIT_ASSERT(
-      HasNote(simulation, FounderAddress(1), "event=group_opened"));
+      HasLogLine(simulation, FounderAddress(1), "event=group_opened"));
     simulation.Kill(FounderAddress(1));
     simulation.Wipe(FounderAddress(1));
     simulation.Start(FounderAddress(1), false);
-    CPPUNIT_ASSERT(HasNote(simulation, FounderAddress(1), "/disk"));
-    CPPUNIT_ASSERT(HasNote(simulation, FounderAddress(1), "voters=0"));
+    CPPUNIT_ASSERT(HasLogLine(simulation, FounderAddress(1), "/disk"));
+    CPPUNIT_ASSERT(HasLogLine(simulation, FounderAddress(1), "voters=0"));
   }
 
 private:
-  static bool IsWhole(const FleetSimulation& aSimulation)
+  static bool ToleratesOneLoss(const FleetSimulation& aSimulation)
   {
     const std::string leader = aSimulation.Leader();
     return !leader.empty() && aSimulation.Voters() == 3 &&
@@ -508,23 +509,24 @@
 
   // A host stops and loses its vote; all lose power, and it is the first one
   // that is back.
-  static FleetSimulation StartedWithoutAVote(const std::string& aWithout,
-                                             Micros aAhead)
+  static FleetSimulation FleetStartedWithANonVoterFirst(
+    const std::string& aNonVoter,
+    Micros aHeadStart)
   {
     FleetSimulation simulation = StartedFleet();
-    Join(simulation, kNewcomer);
-    simulation.Stop(aWithout);
+    Join(simulation, kNewHost);
+    simulation.Stop(aNonVoter);
     CPPUNIT_ASSERT(simulation.RunUntil(
-      kStopTime, [&] { return !IsVoter(simulation, aWithout); }));
+      kStopTime, [&] { return !IsVoter(simulation, aNonVoter); }));
     simulation.Advance(kSecond);
     for (const std::string& address : simulation.Addresses()) {
       simulation.LosePower(address);
     }
     simulation.Advance(kSecond);
-    simulation.Start(aWithout, false);
-    simulation.Advance(aAhead);
+    simulation.Start(aNonVoter, false);
+    simulation.Advance(aHeadStart);
     for (const std::string& address : simulation.Addresses()) {
-      if (address != aWithout) {
+      if (address != aNonVoter) {
         simulation.Start(address, false);
       }
     }
@@ -551,7 +553,8 @@
       10 * kSecond, [&] { return IsVoter(aSimulation, aAddress); }));
   }
 
-  static void Leave(FleetSimulation& aSimulation, const std::string& aAddress)
+  static void StopForGood(FleetSimulation& aSimulation,
+                          const std::string& aAddress)
   {
     aSimulation.Stop(aAddress);
     aSimulation.Advance(kStopTime);
@@ -559,44 +562,47 @@
     aSimulation.Advance(kSecond);
   }
 
-  static FleetSimulation Replaced(int aLeaves)
+  static FleetSimulation FleetWithReplacedFounder(int aDeparting)
   {
     FleetSimulation simulation = StartedFleet();
-    Join(simulation, kNewcomer);
-    Leave(simulation, FounderAddress(aLeaves));
+    Join(simulation, kNewHost);
+    StopForGood(simulation, FounderAddress(aDeparting));
     return simulation;
   }
 
-  static std::vector<std::string> OthersThan(int aLeaves)
+  static std::vector<std::string> OthersThan(int aDeparting)
   {
-    std::vector<std::string> others = { kNewcomer };
+    std::vector<std::string> others = { kNewHost };
     for (int i = 1; i <= 3; ++i) {
-      if (i != aLeaves) {
+      if (i != aDeparting) {
         others.push_back(FounderAddress(i));
       }
     }
     return others;
   }
 
-  static std::vector<std::string> Left(const FleetSimulation& aSimulation,
-                                       int aLeaves)
+  static std::vector<std::string> RemainingHosts(
+    const FleetSimulation& aSimulation,
+    int aDeparting)
   {
-    std::vector<std::string> left = aSimulation.Addresses();
-    left.erase(std::find(left.begin(), left.end(), FounderAddress(aLeaves)));
-    return left;
+    std::vector<std::string> remaining = aSimulation.Addresses();
+    remaining.erase(std::find(
+      remaining.begin(), remaining.end(), FounderAddress(aDeparting)));
+    return remaining;
   }
 
   static void LoseAllPower(FleetSimulation& aSimulation,
-                           int aLeaves,
+                           int aDeparting,
                            const std::string& aWiped)
   {
-    const std::vector<std::string> left = Left(aSimulation, aLeaves);
-    for (const std::string& address : left) {
+    const std::vector<std::string> remaining =
+      RemainingHosts(aSimulation, aDeparting);
+    for (const std::string& address : remaining) {
       aSimulation.LosePower(address);
     }
     aSimulation.Wipe(aWiped);
     aSimulation.Advance(kSecond);
-    for (const std::string& address : left) {
+    for (const std::string& address : remaining) {
       aSimulation.Start(address, false);
     }
   }
@@ -604,17 +610,19 @@
   // All hosts that are left are in touch, with a version or a later one, and it
   // can be read back.
   static void AssertServes(FleetSimulation& aSimulation,
-                           int aLeaves,
+                           int aDeparting,
                            std::uint64_t aVersion,
                            const std::string& aCase)
   {
-    const std::vector<std::string> left = Left(aSimulation, aLeaves);
-    const bool all = aSimulation.RunUntil(kBackTime, [&] {
-      return std::all_of(left.begin(), left.end(), [&](const auto& aHost) {
-        const State& state = aSimulation.Node(aHost).mState;
-        return state.mCatalog.mVersion >= aVersion &&
-               IsInTouch(state, aSimulation.mNow);
-      });
+    const std::vector<std::string> remaining =
+      RemainingHosts(aSimulation, aDeparting);
+    const bool all = aSimulation.RunUntil(kRecoveryTime, [&] {
+      return std::all_of(
+        remaining.begin(), remaining.end(), [&](const auto& aHost) {
+          const State& state = aSimulation.Node(aHost).mState;
+          return state.mCatalog.mVersion >= aVersion &&
+                 IsInTouch(state, aSimulation.mNow);
+        });
     });
     CPPUNIT_ASSERT_MESSAGE(aCase, all);
     wire::CatalogCommand read;
@@ -642,9 +650,9 @@
     return aSimulation.Node(leader).mState.mGroup.mMembership.members_size();
   }
 
-  static bool HasNote(FleetSimulation& aSimulation,
-                      const std::string& aAddress,
-                      const std::string& aText)
+  static bool HasLogLine(FleetSimulation& aSimulation,
+                         const std::string& aAddress,
+                         const std::string& aText)
   {
     const auto& notes = aSimulation.Node(aAddress).mNotes;
     return std::any_of(notes.begin(), notes.end(), [&](const auto& aNote) {
