--- a/tests/fleet_cut_test.cpp
+++ b/tests/fleet_cut_test.cpp
@@ -15,62 +15,62 @@
 
 /// In this time after its acknowledgement a change is in force at every host
 /// that hears the control group.
-constexpr Micros kInForceWithin = 2 * kSecond;
-constexpr std::uint64_t kDraws = 12;
+constexpr Micros kChangeDeadline = 2 * kSecond;
+constexpr std::uint64_t kSeeds = 12;
 /// The cut falls within this time around the change.
-constexpr Micros kAround = 60 * kMillisecond;
+constexpr Micros kMaxOffset = 60 * kMillisecond;
 
 } // namespace
 
 /// \brief Hosts are cut off from all control hosts while something changes, and
 /// still reach the other hosts.
-class FleetCutTest : public CppUnit::TestFixture
+class FleetPartitionTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(FleetCutTest);
-  CPPUNIT_TEST(HostsBelowRelaysThatAreCutOffHaveAChangeInTime);
-  CPPUNIT_TEST(HostsBelowRelaysThatAreCutOffHearOfATargetThatLeavesInTime);
-  CPPUNIT_TEST(HostsThreeLevelsBelowRelaysThatAreCutOffHaveAChangeInTime);
+  CPPUNIT_TEST_SUITE(FleetPartitionTest);
+  CPPUNIT_TEST(HostsBelowIsolatedRelaysApplyAChangeInTime);
+  CPPUNIT_TEST(HostsBelowIsolatedRelaysLearnOfADrainingTargetInTime);
+  CPPUNIT_TEST(HostsThreeLevelsBelowIsolatedRelaysApplyAChangeInTime);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void HostsBelowRelaysThatAreCutOffHaveAChangeInTime()
+  void HostsBelowIsolatedRelaysApplyAChangeInTime()
   {
-    for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
-      Begin(seed, 3, 94);
-      ChangeBesideACut(PutPolicyCommand(2, 1, "two"));
-      ExpectAtHostsNotCutOff(seed, [](const catalog::State& aCatalog) {
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+      StartSettledFleet(seed, 3, 94);
+      ChangeDuringIsolation(PutPolicyCommand(2, 1, "two"));
+      ExpectAtConnectedHosts(seed, [](const catalog::State& aCatalog) {
         return aCatalog.mVersion == 2;
       });
     }
   }
 
-  void HostsBelowRelaysThatAreCutOffHearOfATargetThatLeavesInTime()
+  void HostsBelowIsolatedRelaysLearnOfADrainingTargetInTime()
   {
-    for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
-      Begin(seed, 3, 94);
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+      StartSettledFleet(seed, 3, 94);
       CPPUNIT_ASSERT(
         mSimulation.Commit("10.0.0.1:1", PutTargetCommand("t", 1, false)));
       mSimulation.Advance(kSecond);
-      ChangeBesideACut(PutTargetCommand("t", 2, true));
-      ExpectAtHostsNotCutOff(seed, [](const catalog::State& aCatalog) {
+      ChangeDuringIsolation(PutTargetCommand("t", 2, true));
+      ExpectAtConnectedHosts(seed, [](const catalog::State& aCatalog) {
         return aCatalog.mTargets.at("t").draining();
       });
     }
   }
 
-  void HostsThreeLevelsBelowRelaysThatAreCutOffHaveAChangeInTime()
+  void HostsThreeLevelsBelowIsolatedRelaysApplyAChangeInTime()
   {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      Begin(seed, 1, 200);
-      ChangeBesideACut(PutPolicyCommand(2, 1, "two"));
-      ExpectAtHostsNotCutOff(seed, [](const catalog::State& aCatalog) {
+      StartSettledFleet(seed, 1, 200);
+      ChangeDuringIsolation(PutPolicyCommand(2, 1, "two"));
+      ExpectAtConnectedHosts(seed, [](const catalog::State& aCatalog) {
         return aCatalog.mVersion == 2;
       });
     }
   }
 
 private:
-  void Begin(std::uint64_t aSeed, int aDataCentres, int aOthers)
+  void StartSettledFleet(std::uint64_t aSeed, int aDataCentres, int aOthers)
   {
     mRandom.seed(aSeed);
     mSimulation = FleetSimulation(aSeed);
@@ -81,16 +81,16 @@
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
     // The tree has its shape, and hosts are anywhere between two reports.
-    mSimulation.Advance(10 * kSecond + Below(kSecond));
+    mSimulation.Advance(10 * kSecond + RandomBelow(kSecond));
   }
 
-  Micros Below(Micros aBound)
+  Micros RandomBelow(Micros aBound)
   {
     return static_cast<Micros>(mRandom() % static_cast<std::uint64_t>(aBound));
   }
 
   // Of four in ten hosts without a disk.
-  void CutSome()
+  void IsolateSomeHosts()
   {
     for (const std::string& address : mSimulation.Addresses()) {
       if (!mSimulation.IsControl(address) && mRandom() % 10 < 4) {
@@ -99,18 +99,18 @@
     }
   }
 
-  void ChangeBesideACut(const wire::CatalogCommand& aCommand)
+  void ChangeDuringIsolation(const wire::CatalogCommand& aCommand)
   {
     const std::string leader = mSimulation.Leader();
-    const bool cutFirst = mRandom() % 2 == 0;
-    if (cutFirst) {
-      CutSome();
-      mSimulation.Advance(Below(kAround));
+    const bool isolateFirst = mRandom() % 2 == 0;
+    if (isolateFirst) {
+      IsolateSomeHosts();
+      mSimulation.Advance(RandomBelow(kMaxOffset));
     }
     const std::uint64_t id = mSimulation.Submit(leader, aCommand);
-    if (!cutFirst) {
-      mSimulation.Advance(Below(kAround / 4));
-      CutSome();
+    if (!isolateFirst) {
+      mSimulation.Advance(RandomBelow(kMaxOffset / 4));
+      IsolateSomeHosts();
     }
     const auto& done = mSimulation.Node(leader).mDone;
     CPPUNIT_ASSERT(
@@ -120,9 +120,9 @@
   }
 
   template<class Condition>
-  void ExpectAtHostsNotCutOff(std::uint64_t aSeed, Condition aHolds)
+  void ExpectAtConnectedHosts(std::uint64_t aSeed, Condition aHolds)
   {
-    mSimulation.Advance(mAcknowledgedAt + kInForceWithin - mSimulation.mNow);
+    mSimulation.Advance(mAcknowledgedAt + kChangeDeadline - mSimulation.mNow);
     int behind = 0;
     for (const std::string& address : mSimulation.Addresses()) {
       const catalog::State& catalog = mSimulation.Node(address).mState.mCatalog;
@@ -140,6 +140,6 @@
   Micros mAcknowledgedAt = 0;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetCutTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetPartitionTest);
 
 } // namespace geraniumpond::fleet
