--- a/tests/fleet_policy_test.cpp
+++ b/tests/fleet_policy_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Micros kStart = 1000 * kSecond;
 constexpr const char* kUpstream = "10.0.0.1:7";
-constexpr const char* kBelow = "10.0.0.8:7";
+constexpr const char* kFollower = "10.0.0.8:7";
 
 catalog::State CatalogOf(std::uint64_t aVersion)
 {
@@ -41,8 +41,8 @@
 class FleetPolicyTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetPolicyTest);
-  CPPUNIT_TEST(PolicyThatCameAheadOutlivesAnOlderSnapshot);
-  CPPUNIT_TEST(FollowersOfAHostThatTookAPolicyAheadGetItWithTheirSnapshot);
+  CPPUNIT_TEST(OlderSnapshotDoesNotReplaceAPolicySentAhead);
+  CPPUNIT_TEST(FollowersGetAPolicySentAheadWithTheirSnapshot);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -54,58 +54,58 @@
     settings.mSeeds = { kUpstream };
     Output output;
     mHost = Open(settings, consensus::Recovered(), kStart, 1, output);
-    TakeSnapshot(1, 5);
-    TakePolicyAlone(3);
+    DeliverSnapshot(1, 5);
+    DeliverPolicyAhead(3);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), mHost.mCatalog.mVersion);
   }
 
-  void PolicyThatCameAheadOutlivesAnOlderSnapshot()
+  void OlderSnapshotDoesNotReplaceAPolicySentAhead()
   {
-    TakeSnapshot(2, 9);
+    DeliverSnapshot(2, 9);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(9), mHost.mApplied);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), mHost.mCatalog.mVersion);
   }
 
-  void FollowersOfAHostThatTookAPolicyAheadGetItWithTheirSnapshot()
+  void FollowersGetAPolicySentAheadWithTheirSnapshot()
   {
     // Its snapshot has been made already, as of the same index.
     for (const std::uint64_t ahead : { 4, 5 }) {
-      TakePolicyAlone(ahead);
-      const catalog::State told = ToldToANewFollower(ahead);
-      CPPUNIT_ASSERT_EQUAL(ahead, told.mVersion);
+      DeliverPolicyAhead(ahead);
+      const catalog::State sent = SentToANewFollower(ahead);
+      CPPUNIT_ASSERT_EQUAL(ahead, sent.mVersion);
     }
   }
 
 private:
-  void Take(const wire::FleetMessage& aMessage)
+  void Deliver(const wire::FleetMessage& aMessage)
   {
     Output output;
     Receive(mHost, kStart + kMillisecond, 1, aMessage, output);
   }
 
-  void TakeSnapshot(std::uint64_t aVersion, std::uint64_t aIndex)
+  void DeliverSnapshot(std::uint64_t aVersion, std::uint64_t aIndex)
   {
     wire::FleetMessage message = Reply();
     wire::FollowReply& reply = *message.mutable_follow_reply();
     reply.set_snapshot(catalog::Save(CatalogOf(aVersion)));
     reply.set_snapshot_index(aIndex);
-    Take(message);
+    Deliver(message);
   }
 
-  void TakePolicyAlone(std::uint64_t aVersion)
+  void DeliverPolicyAhead(std::uint64_t aVersion)
   {
     wire::FleetMessage message = Reply();
     *message.mutable_follow_reply()->mutable_policy() =
       CatalogOf(aVersion).mChange;
-    Take(message);
+    Deliver(message);
   }
 
-  catalog::State ToldToANewFollower(std::uint64_t aIncarnation)
+  catalog::State SentToANewFollower(std::uint64_t aIncarnation)
   {
     wire::FleetMessage report;
-    report.set_from_address(kBelow);
+    report.set_from_address(kFollower);
     wire::Follow& follow = *report.mutable_follow();
-    follow.mutable_host()->set_peer_address(kBelow);
+    follow.mutable_host()->set_peer_address(kFollower);
     follow.mutable_host()->set_incarnation(aIncarnation);
     follow.set_compact(true);
     follow.set_policy_version(0);
@@ -113,7 +113,7 @@
     Receive(mHost, kStart + 2 * kMillisecond, 1, report, output);
     for (const auto& [to, message] : output.mMessages) {
       const std::string& packed = message.follow_reply().packed_snapshot();
-      if (to == kBelow && !packed.empty()) {
+      if (to == kFollower && !packed.empty()) {
         return catalog::Load(catalog::Unpack(packed).value()).value();
       }
     }
