--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -19,38 +19,38 @@
 
 /// In this time an operator who asks any hosts has the policy: the shortest
 /// time of contact that deployments promise.
-constexpr Micros kReadBackWithin = 3 * kSecond;
+constexpr Micros kMaxTimeToRead = 3 * kSecond;
 /// An operator leaves a host that has not answered for another one.
-constexpr Micros kPatience = 1 * kSecond;
+constexpr Micros kOperatorTimeout = 1 * kSecond;
 /// Pause after an answer that has no policy; it doubles with each.
-constexpr Micros kFirstPause = 50 * kMillisecond;
+constexpr Micros kInitialBackoff = 50 * kMillisecond;
 /// All targets announce themselves in about this time after a loss of power.
-constexpr Micros kHeartbeat = 1500 * kMillisecond;
-constexpr Micros kPace = 10 * kMillisecond;
+constexpr Micros kAnnouncementPeriod = 1500 * kMillisecond;
+constexpr Micros kStep = 10 * kMillisecond;
 
 // A tenth of a millisecond of a core for a message and a hundredth for a
 // kilobyte, at hosts with a quarter and a tenth of a core.
 constexpr fakes::ProcessingCost kSmallHostCost = { 400, 1000, 40 };
 
-enum class Wiped
+enum class WipedDisk
 {
   Leader,
   Other
 };
 
-struct Case
+struct TestCase
 {
   /// Part of the processor that clients leave.
   int mPercent = 100;
-  Wiped mWiped = Wiped::Other;
+  WipedDisk mWiped = WipedDisk::Other;
   std::uint64_t mSeed = 1;
 };
 
-std::string Describe(const Case& aCase, Micros aTime)
+std::string Describe(const TestCase& aTestCase, Micros aTime)
 {
-  return std::to_string(aCase.mPercent) + " % of the processor, " +
-         (aCase.mWiped == Wiped::Leader ? "the leader's" : "another") +
-         " disk lost, seed " + std::to_string(aCase.mSeed) + ": " +
+  return std::to_string(aTestCase.mPercent) + " % of the processor, " +
+         (aTestCase.mWiped == WipedDisk::Leader ? "the leader's" : "another") +
+         " disk lost, seed " + std::to_string(aTestCase.mSeed) + ": " +
          std::to_string(aTime / kMillisecond) + " ms";
 }
 
@@ -60,30 +60,31 @@
 class FleetReadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetReadTest);
-  CPPUNIT_TEST(PolicyIsReadBackBesideTheAnnouncementsOfAllTargets);
-  CPPUNIT_TEST(PolicyIsReadBackByAHostWhoseOwnIsOld);
-  CPPUNIT_TEST(PolicyIsReadWhileDisksAnswerNothing);
-  CPPUNIT_TEST(EachReadEndsInItsTimeAfterALossOfAllPower);
-  CPPUNIT_TEST(TimesOfAReadAddUpToLessThanItHas);
+  CPPUNIT_TEST(PolicyIsReadDuringTheAnnouncementsOfAllTargets);
+  CPPUNIT_TEST(HostWithAnOldPolicyReadsTheNewOne);
+  CPPUNIT_TEST(PolicyIsReadWhileDisksAreStalled);
+  CPPUNIT_TEST(EachReadEndsInTimeAfterATotalPowerLoss);
+  CPPUNIT_TEST(StepsOfAReadFitItsTimeLimit);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PolicyIsReadBackBesideTheAnnouncementsOfAllTargets()
+  void PolicyIsReadDuringTheAnnouncementsOfAllTargets()
   {
     for (const int percent : { 100, 25, 15, 10 }) {
-      for (const Wiped wiped : { Wiped::Leader, Wiped::Other }) {
+      for (const WipedDisk wiped : { WipedDisk::Leader, WipedDisk::Other }) {
         for (const std::uint64_t seed : { 1, 2 }) {
-          const Case one{ percent, wiped, seed };
-          LoseAllPower(one);
-          const Micros time = TimeToReadBesideAnnouncements();
-          CPPUNIT_ASSERT_MESSAGE(Describe(one, time), time <= kReadBackWithin);
+          const TestCase testCase{ percent, wiped, seed };
+          LoseAllPower(testCase);
+          const Micros time = TimeToReadWithAnnouncements();
+          CPPUNIT_ASSERT_MESSAGE(Describe(testCase, time),
+                                 time <= kMaxTimeToRead);
         }
       }
     }
   }
 
   // What the group has acknowledged is told down the tree, which may be cut.
-  void PolicyIsReadBackByAHostWhoseOwnIsOld()
+  void HostWithAnOldPolicyReadsTheNewOne()
   {
     mSimulation = FleetSimulation(3);
     mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
@@ -96,11 +97,11 @@
       return aSent.mMessage.has_follow_reply() && aSent.mTo == kReader;
     };
     CPPUNIT_ASSERT(mSimulation.Commit(kControl, PutPolicyCommand(2, 1, "two")));
-    CPPUNIT_ASSERT(Reads(kReader));
+    CPPUNIT_ASSERT(CanRead(kReader));
   }
 
   // A change waits for the disks; what was acknowledged before it is read.
-  void PolicyIsReadWhileDisksAnswerNothing()
+  void PolicyIsReadWhileDisksAreStalled()
   {
     mSimulation = FleetSimulation(4);
     mSimulation.StartSpreadFleet(kDataCentres, 24, 2);
@@ -115,41 +116,41 @@
     }
     (void)mSimulation.Submit(kControl, PutPolicyCommand(3, 2, "three"));
     mSimulation.Advance(100 * kMillisecond);
-    CPPUNIT_ASSERT(Reads(kReader));
+    CPPUNIT_ASSERT(CanRead(kReader));
   }
 
   // Two hundred operators ask from the moment of the start on, each once: all
   // have an answer, or are told that there is none, before they would leave.
-  void EachReadEndsInItsTimeAfterALossOfAllPower()
+  void EachReadEndsInTimeAfterATotalPowerLoss()
   {
-    LoseAllPower({ 25, Wiped::Leader, 5 });
+    LoseAllPower({ 25, WipedDisk::Leader, 5 });
     std::vector<std::pair<std::string, std::uint64_t>> reads;
     for (int reader = 0; reader < 200; ++reader) {
       wire::CatalogCommand read;
       read.mutable_read_barrier();
       const std::string host = AnyHost();
       reads.emplace_back(host, mSimulation.Submit(host, read));
-      AdvanceBesideAnnouncements(kPace);
+      AdvanceWithAnnouncements(kStep);
     }
-    AdvanceBesideAnnouncements(kPatience);
+    AdvanceWithAnnouncements(kOperatorTimeout);
     int answered = 0;
     for (const auto& [host, id] : reads) {
       const auto& ends = mSimulation.Node(host).mDone;
       const auto done = ends.find(id);
       CPPUNIT_ASSERT_MESSAGE(host, done != ends.end());
-      CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mTook < kPatience);
-      const bool good = done->second.mEnd == SubmitEnd::Committed;
-      CPPUNIT_ASSERT(!good || done->second.mOutcome.version() == 2);
-      answered += good ? 1 : 0;
+      CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mTook < kOperatorTimeout);
+      const bool committed = done->second.mEnd == SubmitEnd::Committed;
+      CPPUNIT_ASSERT(!committed || done->second.mOutcome.version() == 2);
+      answered += committed ? 1 : 0;
     }
     CPPUNIT_ASSERT(answered > 0);
   }
 
-  void TimesOfAReadAddUpToLessThanItHas()
+  void StepsOfAReadFitItsTimeLimit()
   {
     constexpr int kLost = 2;
     CPPUNIT_ASSERT(ReadTime(kLost) <= kReadWithin);
-    CPPUNIT_ASSERT(kReadWithin < kPatience);
+    CPPUNIT_ASSERT(kReadWithin < kOperatorTimeout);
   }
 
 private:
@@ -157,10 +158,10 @@
   static constexpr const char* kReader = "10.1.2.2:1";
 
   // A change is acknowledged, then all hosts lose power and one its disk.
-  void LoseAllPower(const Case& aCase)
+  void LoseAllPower(const TestCase& aTestCase)
   {
-    mSimulation = FleetSimulation(aCase.mSeed);
-    mRandom.seed(aCase.mSeed);
+    mSimulation = FleetSimulation(aTestCase.mSeed);
+    mRandom.seed(aTestCase.mSeed);
     mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
     CPPUNIT_ASSERT(mSimulation.RunUntil(6 * kSecond, [&] {
@@ -176,12 +177,12 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.LosePower(address);
     }
-    mSimulation.Wipe(aCase.mWiped == Wiped::Leader ? leader
-                                                   : OtherThan(leader));
+    mSimulation.Wipe(aTestCase.mWiped == WipedDisk::Leader ? leader
+                                                           : OtherThan(leader));
     mSimulation.mProcessingCost = {
-      kSmallHostCost.mPerControlHostMessage * 100 / aCase.mPercent,
-      kSmallHostCost.mPerOtherHostMessage * 100 / aCase.mPercent,
-      kSmallHostCost.mPerKilobyte * 100 / aCase.mPercent
+      kSmallHostCost.mPerControlHostMessage * 100 / aTestCase.mPercent,
+      kSmallHostCost.mPerOtherHostMessage * 100 / aTestCase.mPercent,
+      kSmallHostCost.mPerKilobyte * 100 / aTestCase.mPercent
     };
     mSimulation.Advance(kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
@@ -192,30 +193,30 @@
   }
 
   // An operator asks one host after the other, from the moment of the start.
-  Micros TimeToReadBesideAnnouncements()
+  Micros TimeToReadWithAnnouncements()
   {
     const Micros start = mSimulation.mNow;
-    Micros pause = kFirstPause;
-    while (mSimulation.mNow - start <= kReadBackWithin) {
-      if (Reads(AnyHost())) {
+    Micros pause = kInitialBackoff;
+    while (mSimulation.mNow - start <= kMaxTimeToRead) {
+      if (CanRead(AnyHost())) {
         break;
       }
-      AdvanceBesideAnnouncements(pause);
+      AdvanceWithAnnouncements(pause);
       pause *= 2;
     }
     return mSimulation.mNow - start;
   }
 
   // Whether the host answers with what was acknowledged last.
-  bool Reads(const std::string& aHost)
+  bool CanRead(const std::string& aHost)
   {
     wire::CatalogCommand read;
     read.mutable_read_barrier();
     const std::uint64_t id = mSimulation.Submit(aHost, read);
     const fakes::FleetNode& node = mSimulation.Node(aHost);
     const Micros asked = mSimulation.mNow;
-    while (mSimulation.mNow - asked < kPatience) {
-      AdvanceBesideAnnouncements(kPace);
+    while (mSimulation.mNow - asked < kOperatorTimeout) {
+      AdvanceWithAnnouncements(kStep);
       const auto done = node.mDone.find(id);
       if (done == node.mDone.end()) {
         continue;
@@ -231,14 +232,14 @@
     return false;
   }
 
-  void AdvanceBesideAnnouncements(Micros aTime)
+  void AdvanceWithAnnouncements(Micros aTime)
   {
-    for (Micros passed = 0; passed < aTime; passed += kPace) {
-      for (Micros due = 0; due < kPace && mAnnounced < kTargets;
-           due += kHeartbeat / kTargets) {
+    for (Micros passed = 0; passed < aTime; passed += kStep) {
+      for (Micros due = 0; due < kStep && mAnnounced < kTargets;
+           due += kAnnouncementPeriod / kTargets) {
         Announce(mAnnounced++, 3);
       }
-      mSimulation.Advance(kPace);
+      mSimulation.Advance(kStep);
     }
   }
 
