--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -19,7 +19,7 @@
 
 /// In this time a host in touch with the group answers and acts on what was
 /// acknowledged.
-constexpr Micros kContact = 4 * kSecond;
+constexpr Micros kContactTime = 4 * kSecond;
 
 // A tenth of a millisecond of a core for a message and a hundredth for a
 // kilobyte, at hosts with a quarter and a tenth of a core.
@@ -31,28 +31,28 @@
 class FleetScaleTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetScaleTest);
-  CPPUNIT_TEST(CalmMinuteOf476HostsKeepsItsLeaderAndItsTree);
-  CPPUNIT_TEST(AllHostsLostHaveThePolicySoonAfterThereIsALeader);
-  CPPUNIT_TEST(AllPowerAndADiskLostIsReadBackWithLittleProcessorLeft);
-  CPPUNIT_TEST(RelayThatIsLostIsReplacedWithinThePolicysTime);
-  CPPUNIT_TEST(HostsLostTogetherLeaveTheOthersServed);
-  CPPUNIT_TEST(StoppingHostLeavesAllListsAtOnceThroughRelays);
+  CPPUNIT_TEST(QuietMinuteOf476HostsKeepsLeaderAndTree);
+  CPPUNIT_TEST(RestartedHostsGetThePolicySoonAfterAnElection);
+  CPPUNIT_TEST(PolicyIsReadAfterPowerAndDiskLossWithLittleProcessorTime);
+  CPPUNIT_TEST(LostRelayIsReplacedWithinTheChangeDeadline);
+  CPPUNIT_TEST(OtherHostsAreServedAfterHalfTheHostsAreLost);
+  CPPUNIT_TEST(StoppingHostIsRemovedFromAllHostListsThroughRelays);
   CPPUNIT_TEST_SUITE_END();
 
 public:
   // Each control host once told 78 followers itself: five terms and 5,800 lost
   // upstreams in the first fifteen seconds, with nothing wrong.
-  void CalmMinuteOf476HostsKeepsItsLeaderAndItsTree()
+  void QuietMinuteOf476HostsKeepsLeaderAndTree()
   {
-    Begin();
+    StartWithFirstPolicy();
     Announce(2 * kSecond);
     mSimulation.Advance(8 * kSecond);
     const std::uint64_t term = Term();
-    const std::size_t lost = Notes("event=upstream_lost");
+    const std::size_t lost = CountLogLines("event=upstream_lost");
     mSimulation.Advance(50 * kSecond);
     CPPUNIT_ASSERT_EQUAL(term, Term());
-    CPPUNIT_ASSERT_EQUAL(lost, Notes("event=upstream_lost"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), Notes("event=host_gone"));
+    CPPUNIT_ASSERT_EQUAL(lost, CountLogLines("event=upstream_lost"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), CountLogLines("event=host_gone"));
     for (const std::string& address : mSimulation.Addresses()) {
       const State& state = mSimulation.Node(address).mState;
       CPPUNIT_ASSERT_EQUAL(std::size_t(kTargets),
@@ -63,9 +63,9 @@
     }
   }
 
-  void AllHostsLostHaveThePolicySoonAfterThereIsALeader()
+  void RestartedHostsGetThePolicySoonAfterAnElection()
   {
-    Begin();
+    StartWithFirstPolicy();
     Announce(2 * kSecond);
     mSimulation.Advance(4 * kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
@@ -85,11 +85,11 @@
   // Clients leave hosts a part of their processor for all else. What was
   // acknowledged is read back, and in force on all hosts, within the time in
   // which a host that is in touch must answer, and the leader is kept.
-  void AllPowerAndADiskLostIsReadBackWithLittleProcessorLeft()
+  void PolicyIsReadAfterPowerAndDiskLossWithLittleProcessorTime()
   {
     for (const int percent : { 100, 50, 35 }) {
       mSimulation = FleetSimulation();
-      Begin();
+      StartWithFirstPolicy();
       Announce(2 * kSecond);
       CPPUNIT_ASSERT(
         mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
@@ -107,14 +107,14 @@
         mSimulation.Start(address, false);
       }
       const std::string label = std::to_string(percent) + " %";
-      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContact, [&] {
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContactTime, [&] {
         return !mSimulation.Leader().empty();
       }));
       const std::uint64_t term = Term();
       wire::CatalogCommand read;
       read.mutable_read_barrier();
       CPPUNIT_ASSERT_MESSAGE(label, mSimulation.Commit("10.1.2.2:1", read));
-      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContact, [&] {
+      CPPUNIT_ASSERT_MESSAGE(label, mSimulation.RunUntil(kContactTime, [&] {
         return HostsAt(2) == kDataCentres + kOthers;
       }));
       mSimulation.Advance(3 * kSecond);
@@ -122,9 +122,9 @@
     }
   }
 
-  void RelayThatIsLostIsReplacedWithinThePolicysTime()
+  void LostRelayIsReplacedWithinTheChangeDeadline()
   {
-    Begin();
+    StartWithFirstPolicy();
     mSimulation.Advance(8 * kSecond);
     std::string relay;
     for (const std::string& address : mSimulation.Addresses()) {
@@ -141,9 +141,9 @@
     CPPUNIT_ASSERT_EQUAL(kDataCentres + kOthers - 1, HostsAt(2));
   }
 
-  void HostsLostTogetherLeaveTheOthersServed()
+  void OtherHostsAreServedAfterHalfTheHostsAreLost()
   {
-    Begin();
+    StartWithFirstPolicy();
     mSimulation.Advance(8 * kSecond);
     std::set<std::string> lost;
     int turn = 0;
@@ -153,17 +153,18 @@
         lost.insert(address);
       }
     }
-    const int left = kDataCentres + kOthers - static_cast<int>(lost.size());
+    const int remaining =
+      kDataCentres + kOthers - static_cast<int>(lost.size());
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(2, 1, "two")));
     mSimulation.Advance(1900 * kMillisecond);
-    CPPUNIT_ASSERT_EQUAL(left, HostsAt(2));
+    CPPUNIT_ASSERT_EQUAL(remaining, HostsAt(2));
     mSimulation.Advance(5 * kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
       if (lost.count(address) == 0) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
           address,
-          left,
+          remaining,
           LiveHosts(mSimulation.Node(address).mState, mSimulation.mNow));
       }
     }
@@ -175,9 +176,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Leaders());
   }
 
-  void StoppingHostLeavesAllListsAtOnceThroughRelays()
+  void StoppingHostIsRemovedFromAllHostListsThroughRelays()
   {
-    Begin();
+    StartWithFirstPolicy();
     for (const std::string& address : mSimulation.Addresses()) {
       Output output;
       SetReady(
@@ -197,7 +198,7 @@
   }
 
 private:
-  void Begin()
+  void StartWithFirstPolicy()
   {
     mSimulation.mProcessingCost = kSmallHostCost;
     mSimulation.StartSpreadFleet(kDataCentres, kOthers, 2);
@@ -253,7 +254,7 @@
     return hosts;
   }
 
-  [[nodiscard]] std::size_t Notes(const std::string& aStart)
+  [[nodiscard]] std::size_t CountLogLines(const std::string& aStart)
   {
     std::size_t count = 0;
     for (const std::string& address : mSimulation.Addresses()) {
