--- a/tests/fleet_schedules_test.cpp
+++ b/tests/fleet_schedules_test.cpp
@@ -11,15 +11,15 @@
 class FleetSchedulesTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetSchedulesTest);
-  CPPUNIT_TEST(SchedulesThatEverBrokeAPromiseKeepIt);
-  CPPUNIT_TEST(ScheduleReadBackIsTheSame);
-  CPPUNIT_TEST(ScheduleWithAnUnknownFaultIsRefused);
+  CPPUNIT_TEST(RegressionSchedulesKeepAllGuarantees);
+  CPPUNIT_TEST(ParsedScheduleEqualsItsSource);
+  CPPUNIT_TEST(ScheduleWithAnUnknownFaultIsRejected);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void SchedulesThatEverBrokeAPromiseKeepIt()
+  void RegressionSchedulesKeepAllGuarantees()
   {
-    int played = 0;
+    int schedulesRun = 0;
     const std::filesystem::path folder = GERANIUMPOND_SOURCE "/tests/schedules";
     for (const auto& entry : std::filesystem::directory_iterator(folder)) {
       std::ifstream file(entry.path());
@@ -29,19 +29,19 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(entry.path().string(),
                                    std::string(),
                                    RunFleetSchedule(schedule.value()));
-      ++played;
+      ++schedulesRun;
     }
-    CPPUNIT_ASSERT(played > 0);
+    CPPUNIT_ASSERT(schedulesRun > 0);
   }
 
-  void ScheduleReadBackIsTheSame()
+  void ParsedScheduleEqualsItsSource()
   {
     const std::string text = Describe(MakeFleetSchedule(5));
     std::istringstream in(text);
     CPPUNIT_ASSERT_EQUAL(text, Describe(ParseFleetSchedule(in).value()));
   }
 
-  void ScheduleWithAnUnknownFaultIsRefused()
+  void ScheduleWithAnUnknownFaultIsRejected()
   {
     std::istringstream in(
       "seed=1 disks=3 others=2 tolerated=1\n  earthquake\n");
