--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-/// A host that was told to stop ends after this time.
+/// Time between the request to stop and the end of the process.
 constexpr Micros kStopTime = 4 * kSecond;
-/// In this time all hosts serve again after the last fault.
+/// Within this time after the last fault all hosts serve again.
 constexpr Micros kRecoveryTime = 8 * kSecond;
-/// In this time a group is whole again after a voter fell silent for good.
+/// Within this time after the loss of a voter the group tolerates its
+/// configured losses again.
 constexpr Micros kMembershipRepairTime = 4 * kSecond;
 
 std::string FounderAddress(int aNumber)
@@ -24,28 +25,18 @@
 }
 
 constexpr const char* kNewHost = "10.0.1.1:1";
-/// A host without a disk beside three that have one, and beside six.
+/// Hosts without a disk, in fleets of three and of six hosts with a disk.
 constexpr const char* kFollower = "10.0.0.5:1";
 constexpr const char* kReader = "10.0.0.8:1";
 
 } // namespace
 
-// What users saw: a change of the policy was acknowledged; then all hosts lost
-// power and one control host its disk. From there on no host knew a policy, or
-// some acted on an older one, and the change could not be read back.
-//
-// Order of events: three control hosts, one loss tolerated. A fourth one joins
-// and becomes a voter; one of the three is told to stop and goes for good, as
-// planned; a change is acknowledged by the three that are left; all lose power,
-// one of the three its disk.
-//
-// Cause: nobody takes a voter that stopped for good out of the group. Four
-// voters are counted, two are there: no majority, for ever.
-//
-// Evidence: the leader's log has two changes of members, the newcomer's, and
-// none after the stop; after the loss every control host counts four voters,
-// collects two votes of the three that it needs, and holds the change at the
-// end of its log.
+// Guards against voters that stay in the group after they stopped for good. A
+// replaced voter that keeps its vote raises the quorum: three control hosts, of
+// which one is replaced as planned, would count four voters. If then all hosts
+// lose power and one control host its disk, two of the three votes needed are
+// left, so that no leader is ever elected and an acknowledged policy change is
+// lost to all hosts.
 class FleetMembersTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetMembersTest);
@@ -147,8 +138,9 @@
     }
   }
 
-  // Two losses tolerated: six voters became eight, two of them gone; the loss
-  // of two disks left four of the five that are needed.
+  // Two losses are tolerated. If the two replaced voters kept their votes, six
+  // voters would become eight, and after the loss of two disks four of the five
+  // votes needed would be left.
   void TwoOfSixReplacedThenTwoDisksLostKeepsTheChange()
   {
     FleetSimulation simulation(7);
@@ -179,14 +171,12 @@
                          simulation.Node(kReader).mState.mCatalog.mVersion);
   }
 
-  // One of three voters loses its disk. A host that has just joined goes again
-  // within the next second, and the group has no leader for ever, though the
-  // two voters that were enough before are still there. The leader had made the
-  // newcomer a fourth voter while one of three was silent: three votes are
-  // needed of the two that are there. Its log says "members_change
-  // why=caught_up voters=4", then "leader_lost members_silent_ms=" with two
-  // members that fell silent before and after that change, and each election
-  // ends with "voters=4 votes=2".
+  // One of three voters loses its disk, and a host that has just joined is lost
+  // again within a second. If the leader makes the new host a fourth voter
+  // while one of the three is silent, three votes are needed and two are left:
+  // the group never has a leader again. The log then shows "members_change
+  // why=caught_up voters=4", "leader_lost members_silent_ms=" with two silent
+  // members, and elections that end with "voters=4 votes=2".
   void FailedJoinDoesNotCostTheQuorum()
   {
     for (int lost = 1; lost <= 3; ++lost) {
@@ -209,7 +199,7 @@
     }
   }
 
-  // Guards against a newcomer whose vote is needed from the moment it counts.
+  // Guards against a new voter whose vote is needed as soon as it has one.
   void FailedJoinBesideALostVoterDoesNotCostTheQuorum()
   {
     for (Micros after = 2400 * kMillisecond; after < 2800 * kMillisecond;
@@ -230,11 +220,11 @@
     }
   }
 
-  // After a loss of power a host does not know whether the entry that took its
-  // vote was committed, stands, and leads until it is. Then it gave the lead up
-  // without a word, and the group had none until another one's timeout, 780 ms
-  // in a schedule that was searched ("leader_lost members_silent_ms=0,0,6,6" at
-  // the leader itself, 34 ms after its election).
+  // After a power loss a host does not know whether the entry that removed its
+  // vote was committed, so it may be elected and leads until that entry is
+  // committed. If it then only stepped down, the group would have no leader
+  // until an election timeout: 780 ms in one schedule ("leader_lost
+  // members_silent_ms=0,0,6,6" at the leader, 34 ms after its election).
   void LeaderThatIsNoVoterTransfersLeadership()
   {
     int led = 0;
@@ -281,7 +271,7 @@
     }
   }
 
-  // With two voters the loss of one disk would leave the group stuck for good.
+  // With two voters the loss of one disk would stop the group for good.
   void GroupNeverShrinksBelowItsConfiguredTolerance()
   {
     for (const bool planned : { false, true }) {
@@ -294,7 +284,7 @@
       simulation.Kill(lost);
       simulation.Advance(60 * kSecond);
       CPPUNIT_ASSERT_EQUAL(std::size_t(3), simulation.Voters());
-      // The one that comes in its place makes the group whole.
+      // A replacement restores the tolerance of the group.
       simulation.SetSeeds({ FounderAddress(1), FounderAddress(3) });
       Join(simulation, kNewHost);
       CPPUNIT_ASSERT(simulation.RunUntil(kMembershipRepairTime, [&] {
@@ -303,7 +293,8 @@
     }
   }
 
-  // Of five with one away as many more may be lost as of four.
+  // Five voters with one lost tolerate as many further losses as four voters,
+  // so the removal is not urgent.
   void SpareVoterIsRemovedOnlyAfterADelay()
   {
     FleetSimulation simulation(7);
@@ -507,8 +498,8 @@
                .mTolerated == 1;
   }
 
-  // A host stops and loses its vote; all lose power, and it is the first one
-  // that is back.
+  // A host stops and loses its vote; then all hosts lose power, and this one
+  // starts first.
   static FleetSimulation FleetStartedWithANonVoterFirst(
     const std::string& aNonVoter,
     Micros aHeadStart)
@@ -533,7 +524,7 @@
     return simulation;
   }
 
-  // Three control hosts and four others; the first version is in force.
+  // Three control hosts and four others, with version 1 in force.
   static FleetSimulation StartedFleet()
   {
     FleetSimulation simulation(7);
@@ -607,8 +598,8 @@
     }
   }
 
-  // All hosts that are left are in touch, with a version or a later one, and it
-  // can be read back.
+  // All remaining hosts are in touch with the group, apply this version or a
+  // later one, and can read it.
   static void AssertServes(FleetSimulation& aSimulation,
                            int aDeparting,
                            std::uint64_t aVersion,
--- a/tests/fleet_partition_test.cpp
+++ b/tests/fleet_partition_test.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-/// In this time after its acknowledgement a change is in force at every host
-/// that hears the control group.
+/// Within this time after its acknowledgement a change is in force at every
+/// host that is connected to the control group.
 constexpr Micros kChangeDeadline = 2 * kSecond;
 constexpr std::uint64_t kSeeds = 12;
-/// The cut falls within this time around the change.
+/// Most time between the isolation and the change.
 constexpr Micros kMaxOffset = 60 * kMillisecond;
 
 } // namespace
 
-/// \brief Hosts are cut off from all control hosts while something changes, and
-/// still reach the other hosts.
+/// \brief Isolates hosts from all control hosts, but not from the other hosts,
+/// while the catalog changes.
 class FleetPartitionTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetPartitionTest);
@@ -80,7 +80,7 @@
     }));
     CPPUNIT_ASSERT(
       mSimulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one")));
-    // The tree has its shape, and hosts are anywhere between two reports.
+    // The tree has settled, at a random time between two reports.
     mSimulation.Advance(10 * kSecond + RandomBelow(kSecond));
   }
 
@@ -89,7 +89,7 @@
     return static_cast<Micros>(mRandom() % static_cast<std::uint64_t>(aBound));
   }
 
-  // Of four in ten hosts without a disk.
+  // Isolates about 40 % of the hosts without a disk.
   void IsolateSomeHosts()
   {
     for (const std::string& address : mSimulation.Addresses()) {
--- a/tests/fleet_policy_test.cpp
+++ b/tests/fleet_policy_test.cpp
@@ -36,8 +36,8 @@
 
 } // namespace
 
-/// \brief A host without a disk that is told a policy ahead of the commands
-/// before it.
+/// \brief A host without a disk that receives a policy ahead of the commands
+/// that precede it in the log.
 class FleetPolicyTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetPolicyTest);
@@ -68,7 +68,7 @@
 
   void FollowersGetAPolicySentAheadWithTheirSnapshot()
   {
-    // Its snapshot has been made already, as of the same index.
+    // In the second round the host already has a snapshot of the same index.
     for (const std::uint64_t ahead : { 4, 5 }) {
       DeliverPolicyAhead(ahead);
       const catalog::State sent = SentToANewFollower(ahead);
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -17,19 +17,19 @@
 constexpr int kOthers = 470;
 constexpr int kTargets = 1080;
 
-/// In this time an operator who asks any hosts has the policy: the shortest
-/// time of contact that deployments promise.
+/// Within this time an operator who asks random hosts must have the policy.
+/// This is the shortest contact time that deployments guarantee.
 constexpr Micros kMaxTimeToRead = 3 * kSecond;
-/// An operator leaves a host that has not answered for another one.
+/// After this time an operator gives up on a host and asks another one.
 constexpr Micros kOperatorTimeout = 1 * kSecond;
-/// Pause after an answer that has no policy; it doubles with each.
+/// Delay after an answer without a policy; doubles with each such answer.
 constexpr Micros kInitialBackoff = 50 * kMillisecond;
-/// All targets announce themselves in about this time after a loss of power.
+/// All targets announce themselves within about this time after a power loss.
 constexpr Micros kAnnouncementPeriod = 1500 * kMillisecond;
 constexpr Micros kStep = 10 * kMillisecond;
 
-// A tenth of a millisecond of a core for a message and a hundredth for a
-// kilobyte, at hosts with a quarter and a tenth of a core.
+// 0.1 ms of a core per message and 0.01 ms per kilobyte, on control hosts with
+// a quarter of a core and other hosts with a tenth.
 constexpr fakes::ProcessingCost kSmallHostCost = { 400, 1000, 40 };
 
 enum class WipedDisk
@@ -40,7 +40,7 @@
 
 struct TestCase
 {
-  /// Part of the processor that clients leave.
+  /// Share of the processor time that client requests leave to the fleet.
   int mPercent = 100;
   WipedDisk mWiped = WipedDisk::Other;
   std::uint64_t mSeed = 1;
@@ -56,7 +56,7 @@
 
 } // namespace
 
-// Guards against a policy that cannot be read back after a loss of power.
+// Guards against an acknowledged policy that cannot be read after a power loss.
 class FleetReadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetReadTest);
@@ -83,7 +83,8 @@
     }
   }
 
-  // What the group has acknowledged is told down the tree, which may be cut.
+  // The host does not receive the change through the tree, because its follow
+  // replies are dropped.
   void HostWithAnOldPolicyReadsTheNewOne()
   {
     mSimulation = FleetSimulation(3);
@@ -100,7 +101,7 @@
     CPPUNIT_ASSERT(CanRead(kReader));
   }
 
-  // A change waits for the disks; what was acknowledged before it is read.
+  // A new change waits for the disks; the previous one can still be read.
   void PolicyIsReadWhileDisksAreStalled()
   {
     mSimulation = FleetSimulation(4);
@@ -119,8 +120,8 @@
     CPPUNIT_ASSERT(CanRead(kReader));
   }
 
-  // Two hundred operators ask from the moment of the start on, each once: all
-  // have an answer, or are told that there is none, before they would leave.
+  // From the restart on, 200 operators send one read each. Each gets an answer
+  // or a failure before it would give up.
   void EachReadEndsInTimeAfterATotalPowerLoss()
   {
     LoseAllPower({ 25, WipedDisk::Leader, 5 });
@@ -157,7 +158,7 @@
   static constexpr const char* kControl = "10.0.0.1:1";
   static constexpr const char* kReader = "10.1.2.2:1";
 
-  // A change is acknowledged, then all hosts lose power and one its disk.
+  // Commits a change; then all hosts lose power, and one also its disk.
   void LoseAllPower(const TestCase& aTestCase)
   {
     mSimulation = FleetSimulation(aTestCase.mSeed);
@@ -192,7 +193,7 @@
     mAnnounced = 0;
   }
 
-  // An operator asks one host after the other, from the moment of the start.
+  // An operator asks one host after the other from the restart on.
   Micros TimeToReadWithAnnouncements()
   {
     const Micros start = mSimulation.mNow;
@@ -207,7 +208,7 @@
     return mSimulation.mNow - start;
   }
 
-  // Whether the host answers with what was acknowledged last.
+  // Whether a read at this host returns the change acknowledged last.
   bool CanRead(const std::string& aHost)
   {
     wire::CatalogCommand read;
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -17,17 +17,18 @@
 constexpr int kOthers = 470;
 constexpr int kTargets = 1080;
 
-/// In this time a host in touch with the group answers and acts on what was
-/// acknowledged.
+/// Within this time a host in touch with the group answers reads and applies
+/// acknowledged changes.
 constexpr Micros kContactTime = 4 * kSecond;
 
-// A tenth of a millisecond of a core for a message and a hundredth for a
-// kilobyte, at hosts with a quarter and a tenth of a core.
+// 0.1 ms of a core per message and 0.01 ms per kilobyte, on control hosts with
+// a quarter of a core and other hosts with a tenth.
 constexpr fakes::ProcessingCost kSmallHostCost = { 400, 1000, 40 };
 
 } // namespace
 
-/// \brief A fleet of hundreds of small hosts, whose messages take their time.
+/// \brief A fleet of hundreds of small hosts, with a processor cost per
+/// message.
 class FleetScaleTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetScaleTest);
@@ -40,8 +41,9 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // Each control host once told 78 followers itself: five terms and 5,800 lost
-  // upstreams in the first fifteen seconds, with nothing wrong.
+  // Without relays each control host served 78 followers itself, which led to
+  // five terms and 5,800 lost upstreams in the first 15 seconds without any
+  // fault.
   void QuietMinuteOf476HostsKeepsLeaderAndTree()
   {
     StartWithFirstPolicy();
@@ -82,9 +84,9 @@
                            HostsAt(1) * 100 >= (kDataCentres + kOthers) * 99);
   }
 
-  // Clients leave hosts a part of their processor for all else. What was
-  // acknowledged is read back, and in force on all hosts, within the time in
-  // which a host that is in touch must answer, and the leader is kept.
+  // Client requests leave only a share of the processor time. The acknowledged
+  // change must still be readable, and in force at all hosts, within the
+  // contact time, without a change of leader.
   void PolicyIsReadAfterPowerAndDiskLossWithLittleProcessorTime()
   {
     for (const int percent : { 100, 50, 35 }) {
@@ -208,7 +210,8 @@
     }));
   }
 
-  // Each at a host of its own; one that is not answered goes to another.
+  // Announces each target at one host; targets that the leader does not know
+  // then are announced again at another host.
   void Announce(Micros aTime)
   {
     const std::vector<std::string> hosts = mSimulation.Addresses();
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -67,7 +67,8 @@
     simulation.StartFleet(4, 0, 1);
     simulation.Kill("10.0.0.4:1");
     simulation.Kill("10.0.0.3:1");
-    // Two of three founders would be a quorum of two: enough for one loss.
+    // Two of the three founders are a quorum, and two disks are enough to
+    // tolerate one loss.
     CPPUNIT_ASSERT(simulation.RunUntil(4 * kSecond, [&] {
       return simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "first"));
     }));
@@ -95,8 +96,9 @@
     }
   }
 
-  // A fleet's targets announce themselves within seconds: a message for each to
-  // every follower kept the leader busy until it lost its lead.
+  // All targets of a fleet may announce themselves within seconds. One message
+  // per commit and follower would overload the leader until it loses its
+  // leadership.
   void ManyCommitsAreSentToFollowersInBatches()
   {
     StartWithFirstPolicy(3, 20, 1);
@@ -129,7 +131,7 @@
   {
     StartWithFirstPolicy(4, 2, 1);
     const std::string follower = "10.0.0.6:1";
-    // The push of one change is lost, the next one arrives.
+    // Drops the push of one change and delivers the next one.
     bool lost = false;
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       const bool push = aSent.mTo == follower &&
@@ -155,7 +157,7 @@
   {
     StartWithFirstPolicy(3, 1, 0);
     mSimulation.mIsolated = { "10.0.0.4:1" };
-    // Random text, so that its deflated form is large as well.
+    // Random text, which stays large when it is compressed.
     std::mt19937_64 random(5);
     std::string large;
     while (large.size() < 300 * 1024) {
@@ -178,7 +180,7 @@
     StartWithFirstPolicy(3, 1, 0);
     const std::string follower = "10.0.0.4:1";
     mSimulation.mIsolated = { follower };
-    // So many commands that a snapshot is smaller.
+    // So many commands that a snapshot is smaller than the log.
     for (int i = 0; i < 400; ++i) {
       CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1", PutTargetCommand("t" + std::to_string(i), 1, false)));
@@ -222,7 +224,8 @@
       WaitForVoters(simulation, 4);
       CPPUNIT_ASSERT(
         simulation.Commit("10.0.0.5:1", PutPolicyCommand(1, 0, "a")));
-      // The one that acknowledged loses its disk; the others lose power.
+      // All hosts are killed, and one control host also loses its disk: the
+      // leader or another one.
       const std::string wiped =
         seed % 2 == 0 ? simulation.Leader() : "10.0.0.2:1";
       for (const std::string& address : simulation.Addresses()) {
@@ -246,7 +249,7 @@
   void HostWithAWipedDiskFindsALeaderThatIsNoSeed()
   {
     StartWithFirstPolicy(4, 1, 1);
-    // 10.0.0.4 is no seed; it leads once the others have handed over.
+    // 10.0.0.4 is no seed. Restarts the leaders until it is elected.
     CPPUNIT_ASSERT(mSimulation.RunUntil(20 * kSecond, [&] {
       const std::string leader = mSimulation.Leader();
       if (!leader.empty() && leader != "10.0.0.4:1") {
@@ -273,7 +276,7 @@
       const std::string next = "10.0.1." + std::to_string(round + 1) + ":1";
       mSimulation.Kill(lost);
       mSimulation.Advance(kSecond);
-      // The seeds of a later start are hosts that are up then.
+      // A host that is added later has seeds that are running then.
       mSimulation.SetSeeds({ "10.0.0.4:1" });
       mSimulation.Add(next, true);
       mSimulation.Start(next, false);
@@ -360,7 +363,8 @@
       !mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "another two")));
   }
 
-  // Guards against a change that is acknowledged by the answer to another one.
+  // A late reply to a command of the previous process must not acknowledge
+  // another command that got the same id after the restart.
   void ReplyToACommandOfAPreviousProcessIsIgnored()
   {
     FleetSimulation simulation(7);
@@ -397,8 +401,9 @@
       4 * kSecond, [&] { return VersionAt("10.0.0.7:1") == 2; }));
   }
 
-  // From a quorum being up to all hosts served: 226 ms at the worst of 20 seeds
-  // with a quarter of the usual timeout, 54 ms now.
+  // Time from a running quorum until all hosts are served. With a quarter of
+  // the usual election timeout the worst of 20 seeds took 226 ms; without
+  // waiting for a timeout, 54 ms.
   void RestartedVotersElectWithoutAnElectionTimeout()
   {
     Micros worst = 0;
@@ -435,7 +440,7 @@
   void FollowersReceiveNoOldPolicyAfterAKillOfAllHosts()
   {
     StartWithFirstPolicy(3, 6, 1);
-    // A snapshot holds the first policy, the log behind it the second one.
+    // The snapshot holds the first policy, the log after it the second one.
     for (int target = 0; target < 230; ++target) {
       CPPUNIT_ASSERT(mSimulation.Commit(
         "10.0.0.1:1",
@@ -450,8 +455,8 @@
     for (const std::string& address : mSimulation.Addresses()) {
       mSimulation.Start(address, false);
     }
-    // The new leader commits nothing for a while, so that it holds no more than
-    // what its disk knew to be committed.
+    // Keeps the new leader from committing for a while, so that it knows only
+    // the commits that its disk recorded.
     const Micros restarted = mSimulation.mNow;
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
       return mSimulation.mNow < restarted + 800 * kMillisecond &&
@@ -485,7 +490,8 @@
       return !leader.empty() &&
              IsInTouch(mSimulation.Node(leader).mState, mSimulation.mNow);
     }));
-    // A few trips; reports alone would come up to 400 ms later.
+    // A few message delays. With the periodic reports alone this would take up
+    // to 400 ms longer.
     mSimulation.Advance(40 * kMillisecond);
     for (const std::string& address : mSimulation.Addresses()) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -513,7 +519,7 @@
     }
   }
 
-  // With one control host asked after the other it took up to four seconds.
+  // Asking the control hosts one after the other took up to four seconds.
   void FollowersOfAMinorityFindTheMajorityInTime()
   {
     StartWithFirstPolicy(5, 20, 2);
@@ -552,7 +558,8 @@
     }));
   }
 
-  // Each host once took all of a shared bound while the group was cut in two.
+  // A host that counts only itself would take all of a shared limit while the
+  // group is partitioned.
   void DisconnectedHostsKeepCountingTheOthers()
   {
     StartWithFirstPolicy(4, 6, 1);
@@ -567,21 +574,21 @@
 
   void FollowersOfALostControlHostStayKnown()
   {
-    // At randomAddress point between the reports.
+    // Kills the host at different times between two reports.
     for (int offset = 0; offset < 8; ++offset) {
       mSimulation = FleetSimulation(static_cast<std::uint64_t>(offset + 1));
       StartWithFirstPolicy(4, 11, 1);
       mSimulation.Advance(3 * kSecond + offset * 150 * kMillisecond);
-      const std::string dead =
+      const std::string lost =
         "10.0.0." + std::to_string(1 + offset % 4) + ":1";
-      mSimulation.Kill(dead);
+      mSimulation.Kill(lost);
       for (int step = 0; step < 500; ++step) {
         mSimulation.Advance(10 * kMillisecond);
         for (const std::string& address : mSimulation.Addresses()) {
           CPPUNIT_ASSERT_MESSAGE(
-            dead + " lost, seen at " + address + " after " +
+            lost + " lost, seen at " + address + " after " +
               std::to_string(step * 10) + " ms",
-            address == dead || LiveHosts(mSimulation.Node(address).mState,
+            address == lost || LiveHosts(mSimulation.Node(address).mState,
                                          mSimulation.mNow) >= 14);
         }
       }
@@ -605,8 +612,8 @@
     }
   }
 
-  // All hosts lose power and one voter its disk; the seeds had been exchanged
-  // for hosts without a disk before.
+  // All hosts restart, and one voter has lost its disk. Their new seeds are
+  // hosts without a disk, which do not know the group.
   void GroupFindsHostsWhoseSeedsDoNotKnowIt()
   {
     StartWithFirstPolicy(3, 16, 1);
@@ -635,7 +642,7 @@
     CPPUNIT_ASSERT(mSimulation.RunUntil(kSecond, [&] { return AllServe(1); }));
   }
 
-  // The voters run on with the seeds that they were started with.
+  // The running voters keep their old seeds.
   void GroupFindsRestartedFollowersThatAreEachOthersSeeds()
   {
     StartWithFirstPolicy(3, 6, 1);
@@ -678,31 +685,31 @@
                          node.mState.mControlAddresses.front());
   }
 
-  // With all hosts there nobody needs to be told; of many lost ones each voter
-  // tries a few at a time.
+  // While no host is lost, the group contacts none. When many are lost, each
+  // voter contacts a few at a time.
   void GroupContactsLostHostsWithFewMessages()
   {
     StartWithFirstPolicy(3, 40, 1);
-    int introduced = 0;
+    int contacted = 0;
     mSimulation.mShouldDrop = [&](const fakes::SentMessage& aSent) {
-      introduced += aSent.mMessage.has_follow_reply() &&
-                        aSent.mMessage.follow_reply().brief()
-                      ? 1
-                      : 0;
+      contacted += aSent.mMessage.has_follow_reply() &&
+                       aSent.mMessage.follow_reply().brief()
+                     ? 1
+                     : 0;
       return false;
     };
     mSimulation.Advance(4 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(0, introduced);
+    CPPUNIT_ASSERT_EQUAL(0, contacted);
     for (int host = 10; host <= 43; ++host) {
       mSimulation.Kill("10.0.0." + std::to_string(host) + ":1");
     }
     mSimulation.Advance(4 * kSecond);
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(introduced),
-                           introduced > 0 && introduced <= 3 * 10 * 7);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(contacted),
+                           contacted > 0 && contacted <= 3 * 10 * 7);
   }
 
-  // Starts, wipes, exchanged seeds and cuts at random; once they end, every
-  // host holds the newest policy within seconds.
+  // Random restarts, wiped disks, new seeds and isolated hosts. After the last
+  // of them every host has the newest policy within seconds.
   void AllHostsServeAfterRandomLossesAndSeedChanges()
   {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -712,7 +719,7 @@
   }
 
 private:
-  // What is wrong after a random schedule of losses; empty when nothing is.
+  // Returns what is wrong after a random schedule of losses; empty for nothing.
   static std::string RunRandomLosses(std::uint64_t aSeed)
   {
     FleetSimulation simulation(aSeed);
@@ -725,7 +732,7 @@
     simulation.StartFleet(disks, hosts - disks, 1);
     WaitForVoters(simulation, static_cast<std::size_t>(disks));
     if (!simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
-      return "no first policy";
+      return "the first policy was not committed";
     }
     const auto randomAddress = [&] {
       return "10.0.0." + std::to_string(1 + below(hosts)) + ":1";
@@ -786,8 +793,9 @@
                  IsInTouch(state, simulation.mNow);
         });
     };
-    return simulation.RunUntil(8 * kSecond, serves) ? ""
-                                                    : "a host does not serve";
+    return simulation.RunUntil(8 * kSecond, serves)
+             ? ""
+             : "a host does not serve in time";
   }
 
   bool AllServe(std::uint64_t aVersion)
@@ -806,7 +814,7 @@
       10 * kSecond, [&] { return aSimulation.Voters() == aCount; }));
   }
 
-  // A fleet whose disks all vote, with version 1 in force.
+  // Starts a fleet in which all hosts with a disk vote, and commits version 1.
   void StartWithFirstPolicy(int aDisks, int aOthers, int aTolerated)
   {
     mSimulation.StartFleet(aDisks, aOthers, aTolerated);
