--- a/bench/change_bench.cpp
+++ b/bench/change_bench.cpp
@@ -36,15 +36,16 @@
     for (const int percent : kPercents) {
       scenario.mFault = fault;
       scenario.mPercent = percent;
-      const ChangeMeasurement times =
+      const ChangeMeasurement measurement =
         geraniumpond::fakes::MeasureChanges(scenario, changes, 36);
       std::printf("%5d  %6d  %-22s  %7s  %10lld  %8.1f\n",
                   scenario.mHostsWithoutDisk,
-                  times.mTreeDepth,
+                  measurement.mTreeDepth,
                   ToString(fault),
                   percent == 0 ? "one" : "40 %",
-                  static_cast<long long>(times.mSlowest / kMillisecond),
-                  static_cast<double>(times.mGroupStatusQueries) / changes);
+                  static_cast<long long>(measurement.mSlowest / kMillisecond),
+                  static_cast<double>(measurement.mGroupStatusQueries) /
+                    changes);
     }
   }
   return 0;
--- a/bench/member_search.cpp
+++ b/bench/member_search.cpp
@@ -39,9 +39,9 @@
                     const std::string& aViolation)
 {
   std::cout << "seed " << aSchedule.mSeed << ": " << aViolation << "\n";
-  const fakes::FleetSchedule smallest = fakes::ShrinkFleetSchedule(aSchedule);
-  std::cout << "smallest: " << fakes::RunFleetSchedule(smallest) << "\n"
-            << fakes::Describe(smallest) << std::flush;
+  const fakes::FleetSchedule minimised = fakes::ShrinkFleetSchedule(aSchedule);
+  std::cout << "smallest: " << fakes::RunFleetSchedule(minimised) << "\n"
+            << fakes::Describe(minimised) << std::flush;
   return 1;
 }
 
@@ -61,7 +61,7 @@
 enum class Departure
 {
   Stops,
-  FallsSilent
+  LosesPower
 };
 
 // Time until a group with one spare voter has removed the voter that left and
@@ -101,14 +101,14 @@
 void PrintTimes(std::uint64_t aSeeds)
 {
   for (const Departure departure :
-       { Departure::Stops, Departure::FallsSilent }) {
+       { Departure::Stops, Departure::LosesPower }) {
     for (const int tolerated : { 1, 2 }) {
       std::vector<Micros> times;
       for (std::uint64_t seed = 1; seed <= aSeeds; ++seed) {
         times.push_back(TimeUntilRecovered(seed, tolerated, departure));
       }
       std::sort(times.begin(), times.end());
-      std::cout << (departure == Departure::Stops ? "stops" : "falls silent")
+      std::cout << (departure == Departure::Stops ? "stops" : "loses power")
                 << ", voters " << 2 * tolerated + 2 << ": median_ms "
                 << times[times.size() / 2] / kMillisecond << " longest_ms "
                 << times.back() / kMillisecond << "\n";
--- a/tests/fakes/change_propagation.cpp
+++ b/tests/fakes/change_propagation.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::array<const char*, 4> kFaultNames = {
   "none",
-  "cut from control hosts",
-  "frozen",
+  "isolated from control",
+  "suspended",
   "power lost",
 };
 /// Time within which the distribution tree settles.
@@ -41,27 +41,27 @@
 
   ChangeMeasurement Run(int aChanges)
   {
-    ChangeMeasurement times;
+    ChangeMeasurement measurement;
     for (int i = 0; i < aChanges; ++i) {
       mSimulation.Advance(static_cast<Micros>(mRandom() % kSecond));
-      const bool before = mRandom() % 2 == 0;
+      const bool faultFirst = mRandom() % 2 == 0;
       const std::set<std::string> hosts = ChooseHosts();
-      if (before) {
+      if (faultFirst) {
         BeginFault(hosts);
       }
       const Micros acknowledgedAt = Change();
-      if (!before) {
+      if (!faultFirst) {
         BeginFault(hosts);
       }
       WaitForChange(hosts);
-      times.mSlowest =
-        std::max(times.mSlowest, mSimulation.mNow - acknowledgedAt);
-      times.mTreeDepth = std::max(times.mTreeDepth, TreeDepth());
+      measurement.mSlowest =
+        std::max(measurement.mSlowest, mSimulation.mNow - acknowledgedAt);
+      measurement.mTreeDepth = std::max(measurement.mTreeDepth, TreeDepth());
       EndFault(hosts);
       mSimulation.Advance(kSettleTime);
     }
-    times.mGroupStatusQueries = mSimulation.GroupStatusQueries();
-    return times;
+    measurement.mGroupStatusQueries = mSimulation.GroupStatusQueries();
+    return measurement;
   }
 
 private:
@@ -87,8 +87,9 @@
       }
       const bool relay =
         mScenario.mPercent == 0 && chosen.empty() && !state.mFollowers.empty();
-      const bool drawn = static_cast<int>(mRandom() % 100) < mScenario.mPercent;
-      if (relay || drawn) {
+      const bool selected =
+        static_cast<int>(mRandom() % 100) < mScenario.mPercent;
+      if (relay || selected) {
         chosen.insert(address);
       }
     }
--- a/tests/fakes/fleet_schedule.cpp
+++ b/tests/fakes/fleet_schedule.cpp
@@ -55,24 +55,25 @@
 FleetSchedule MakeFleetSchedule(std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
-  const auto below = [&](std::uint64_t aMost) {
-    return static_cast<int>(random() % aMost);
+  const auto randomBelow = [&](std::uint64_t aBound) {
+    return static_cast<int>(random() % aBound);
   };
   FleetSchedule schedule;
   schedule.mSeed = aSeed;
-  schedule.mTolerated = below(4) == 0 ? 2 : 1;
-  schedule.mHostsWithDisk = 2 * schedule.mTolerated + 1 + below(3);
+  schedule.mTolerated = randomBelow(4) == 0 ? 2 : 1;
+  schedule.mHostsWithDisk = 2 * schedule.mTolerated + 1 + randomBelow(3);
   // Most fleets are small; some are large enough to have relays.
-  schedule.mHostsWithoutDisk = below(8) == 0 ? 16 + below(24) : 2 + below(4);
-  const int steps = 2 + below(kMaxSteps);
+  schedule.mHostsWithoutDisk =
+    randomBelow(8) == 0 ? 16 + randomBelow(24) : 2 + randomBelow(4);
+  const int steps = 2 + randomBelow(kMaxSteps);
   for (int i = 0; i < steps; ++i) {
     FleetStep step;
-    step.mFault = static_cast<FleetFault>(below(kFaultNames.size()));
+    step.mFault = static_cast<FleetFault>(randomBelow(kFaultNames.size()));
     step.mSelector = random();
-    step.mDuration = (50 + below(4000)) * kMillisecond;
+    step.mDuration = (50 + randomBelow(4000)) * kMillisecond;
     // A third of the pauses are short, so that faults overlap.
-    step.mPause =
-      below(3) == 0 ? below(400) * kMillisecond : below(5000) * kMillisecond;
+    step.mPause = randomBelow(3) == 0 ? randomBelow(400) * kMillisecond
+                                      : randomBelow(5000) * kMillisecond;
     schedule.mSteps.push_back(step);
   }
   return schedule;
--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -106,7 +106,7 @@
       ChangePolicy();
       mSimulation.Advance(kCheckInterval);
       CollectChangeOutcome();
-      LogNotes();
+      LogHostLines();
       CheckInvariants();
     }
   }
@@ -116,19 +116,19 @@
     mScheduledActions.emplace(mSimulation.mNow + aTime, std::move(aAction));
   }
 
-  void Log(const std::string& aWho, const std::string& aWhat)
+  void Log(const std::string& aSource, const std::string& aText)
   {
     if (mLog != nullptr) {
-      *mLog << mSimulation.mNow / kMillisecond << " ms " << aWho << " " << aWhat
-            << "\n";
+      *mLog << mSimulation.mNow / kMillisecond << " ms " << aSource << " "
+            << aText << "\n";
     }
   }
 
-  void LogNotes()
+  void LogHostLines()
   {
     for (const std::string& address : mSimulation.Addresses()) {
-      for (const std::string& note : Node(address).mNotes) {
-        Log(address, note);
+      for (const std::string& line : Node(address).mNotes) {
+        Log(address, line);
       }
       Node(address).mNotes.clear();
     }
@@ -347,20 +347,20 @@
 
   void TakeDown(const std::string& aHost,
                 Micros aDuration,
-                bool aPower,
-                bool aDisk)
+                bool aLosesPower,
+                bool aLosesDisk)
   {
-    if (aHost.empty() || (aDisk && !CanLoseDisk())) {
+    if (aHost.empty() || (aLosesDisk && !CanLoseDisk())) {
       return;
     }
-    Log(aHost, aDisk ? "loses its disk" : "goes down");
+    Log(aHost, aLosesDisk ? "loses its disk" : "goes down");
     mHostsInUse.insert(aHost);
-    if (aPower) {
+    if (aLosesPower) {
       mSimulation.LosePower(aHost);
     } else {
       mSimulation.Kill(aHost);
     }
-    if (aDisk) {
+    if (aLosesDisk) {
       ++mMissingDisks;
       mSimulation.Wipe(aHost);
     }
@@ -511,12 +511,13 @@
   {
     for (const std::string& address : Hosts(false, true)) {
       const std::uint64_t version = Node(address).mState.mCatalog.mVersion;
-      std::uint64_t& known = mLastSeenVersions[address];
-      if (version < known) {
+      std::uint64_t& lastSeen = mLastSeenVersions[address];
+      if (version < lastSeen) {
         mViolation = address + " went back from policy version " +
-                     std::to_string(known) + " to " + std::to_string(version);
+                     std::to_string(lastSeen) + " to " +
+                     std::to_string(version);
       }
-      known = version;
+      lastSeen = version;
     }
     CheckAppliedVersions();
     CheckReads();
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -54,7 +54,7 @@
   node.mUnsynced.clear();
   node.mAlive = true;
   node.mInbox = fleet::Inbox();
-  // Command ids restart with each process.
+  // Command ids are unique only within one process.
   node.mDone.clear();
   node.mBusyUntil = mNow;
   fleet::Output output;
@@ -275,10 +275,10 @@
   }
 }
 
-bool FleetSimulation::RunUntil(Micros aMost,
+bool FleetSimulation::RunUntil(Micros aTimeout,
                                const std::function<bool()>& aCondition)
 {
-  const Micros end = mNow + aMost;
+  const Micros end = mNow + aTimeout;
   while (!aCondition()) {
     if (mNow >= end) {
       return false;
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -102,9 +102,9 @@
   void Wipe(const std::string& aAddress);
 
   void Advance(Micros aTime);
-  /// \brief Advances until the condition holds, for at most `aMost`; returns
+  /// \brief Advances until the condition holds, for at most `aTimeout`; returns
   /// whether it holds.
-  bool RunUntil(Micros aMost, const std::function<bool()>& aCondition);
+  bool RunUntil(Micros aTimeout, const std::function<bool()>& aCondition);
 
   [[nodiscard]] std::uint64_t Submit(const std::string& aAddress,
                                      const wire::CatalogCommand& aCommand);
--- a/tests/fakes/fleet_stability.cpp
+++ b/tests/fakes/fleet_stability.cpp
@@ -29,12 +29,12 @@
 {
   const FleetNode& node = mSimulation.At(aAddress);
   return std::to_string(node.mAlive ? node.mSettings.mIncarnation : 0) +
-         (node.mState.mStopping ? " stops" : "") +
-         (mSimulation.mIsolated.count(aAddress) != 0 ? " cut" : "") +
-         (mSimulation.mSuspended.count(aAddress) != 0 ? " frozen" : "") +
+         (node.mState.mStopping ? " stopping" : "") +
+         (mSimulation.mIsolated.count(aAddress) != 0 ? " isolated" : "") +
+         (mSimulation.mSuspended.count(aAddress) != 0 ? " suspended" : "") +
          (mSimulation.mStalledDisks.count(aAddress) != 0 ? " stalled" : "") +
          (mSimulation.mIsolatedFromControl.count(aAddress) != 0
-            ? " cut from control"
+            ? " isolated from control"
             : "");
 }
 
@@ -46,10 +46,10 @@
          mSimulation.mStalledDisks.count(aAddress) == 0;
 }
 
-Micros FleetStability::UnchangedSince(const std::string& aWho,
+Micros FleetStability::UnchangedSince(const std::string& aKey,
                                       const std::string& aCondition)
 {
-  Condition& known = mConditions[aWho];
+  Condition& known = mConditions[aKey];
   if (known.mText != aCondition) {
     known = { aCondition, mSimulation.mNow };
   }
--- a/tests/fakes/fleet_stability.h
+++ b/tests/fakes/fleet_stability.h
@@ -42,7 +42,7 @@
   [[nodiscard]] std::string ConditionOf(const std::string& aAddress) const;
   [[nodiscard]] bool IsReachable(const std::string& aAddress) const;
   [[nodiscard]] bool IsCountedAsLost(const std::string& aAddress);
-  [[nodiscard]] Micros UnchangedSince(const std::string& aWho,
+  [[nodiscard]] Micros UnchangedSince(const std::string& aKey,
                                       const std::string& aCondition);
 
   FleetSimulation& mSimulation;
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -26,7 +26,8 @@
   mPendingReads.push_back({ aHost, incarnation, id, aAcknowledged });
 }
 
-bool PolicyReaders::CheckAnswer(const PendingRead& aRead, std::string& aFault)
+bool PolicyReaders::CheckAnswer(const PendingRead& aRead,
+                                std::string& aViolation)
 {
   const FleetNode& node = mSimulation.Node(aRead.mHost);
   if (!node.mAlive || node.mSettings.mIncarnation != aRead.mIncarnation) {
@@ -42,10 +43,10 @@
   ++mAnswered;
   const std::uint64_t version = done->second.mOutcome.version();
   if (version < aRead.mMinVersion) {
-    aFault = aRead.mHost + " answered a read with version " +
-             std::to_string(version) + ", " +
-             std::to_string(aRead.mMinVersion) +
-             " was acknowledged before the read";
+    aViolation = aRead.mHost + " answered a read with version " +
+                 std::to_string(version) + ", " +
+                 std::to_string(aRead.mMinVersion) +
+                 " was acknowledged before the read";
   }
   return true;
 }
@@ -53,11 +54,11 @@
 std::string PolicyReaders::Poll(const std::vector<std::string>& aHosts,
                                 std::uint64_t aAcknowledged)
 {
-  std::string fault;
+  std::string violation;
   mPendingReads.erase(std::remove_if(mPendingReads.begin(),
                                      mPendingReads.end(),
                                      [&](const PendingRead& aRead) {
-                                       return CheckAnswer(aRead, fault);
+                                       return CheckAnswer(aRead, violation);
                                      }),
                       mPendingReads.end());
   if (mSimulation.mNow >= mNextAt && !aHosts.empty()) {
@@ -67,7 +68,7 @@
       Send(host, aAcknowledged);
     }
   }
-  return fault;
+  return violation;
 }
 
 } // namespace geraniumpond::fakes
--- a/tests/fakes/policy_readers.h
+++ b/tests/fakes/policy_readers.h
@@ -37,7 +37,7 @@
 
   void Send(const std::string& aHost, std::uint64_t aAcknowledged);
   /// \brief True if the read has ended, also because its host has restarted.
-  bool CheckAnswer(const PendingRead& aRead, std::string& aFault);
+  bool CheckAnswer(const PendingRead& aRead, std::string& aViolation);
 
   FleetSimulation& mSimulation;
   std::mt19937_64 mRandom;
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -359,11 +359,11 @@
   void HostReplacedWhileTheLeaderIsIsolatedKeepsTheVoterCount()
   {
     FleetSimulation simulation = StartedFleet();
-    const std::string cut = simulation.Leader();
+    const std::string isolated = simulation.Leader();
     const std::string departing =
-      cut == FounderAddress(1) ? FounderAddress(2) : FounderAddress(1);
+      isolated == FounderAddress(1) ? FounderAddress(2) : FounderAddress(1);
     Join(simulation, kNewHost);
-    simulation.mIsolated = { cut };
+    simulation.mIsolated = { isolated };
     simulation.Stop(departing);
     simulation.Advance(kStopTime);
     simulation.Kill(departing);
@@ -443,15 +443,18 @@
   void LostHostsAreRemovedFromHostLists()
   {
     FleetSimulation simulation = StartedFleet();
-    const std::string gone = "10.0.0.7:1";
-    simulation.Kill(gone);
+    const std::string lostHost = "10.0.0.7:1";
+    simulation.Kill(lostHost);
     simulation.Advance(10 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), KnownAt(simulation, kFollower, gone));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1),
+                         HostListEntries(simulation, kFollower, lostHost));
     simulation.Advance(60 * kSecond);
     for (const std::string& address : simulation.Addresses()) {
-      if (address != gone) {
+      if (address != lostHost) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
-          address, std::size_t(0), KnownAt(simulation, address, gone));
+          address,
+          std::size_t(0),
+          HostListEntries(simulation, address, lostHost));
       }
     }
   }
@@ -628,9 +631,9 @@
     return std::count(voters.begin(), voters.end(), aAddress) != 0;
   }
 
-  static std::size_t KnownAt(FleetSimulation& aSimulation,
-                             const std::string& aAddress,
-                             const std::string& aHost)
+  static std::size_t HostListEntries(FleetSimulation& aSimulation,
+                                     const std::string& aAddress,
+                                     const std::string& aHost)
   {
     return aSimulation.Node(aAddress).mState.mHosts.count(aHost);
   }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -292,16 +292,17 @@
   void MemberRemovedWhileIsolatedRejoins()
   {
     StartWithFirstPolicy(4, 1, 1);
-    const std::string cut = mSimulation.Leader();
-    mSimulation.mIsolated = { cut };
+    const std::string isolated = mSimulation.Leader();
+    mSimulation.mIsolated = { isolated };
     mSimulation.Advance(4 * kSecond);
     mSimulation.Add("10.0.1.1:1", true);
     mSimulation.Start("10.0.1.1:1", false);
-    CPPUNIT_ASSERT(mSimulation.RunUntil(
-      8 * kSecond, [&] { return IsVoter("10.0.1.1:1") && !IsVoter(cut); }));
+    CPPUNIT_ASSERT(mSimulation.RunUntil(8 * kSecond, [&] {
+      return IsVoter("10.0.1.1:1") && !IsVoter(isolated);
+    }));
     mSimulation.mIsolated.clear();
     CPPUNIT_ASSERT(
-      mSimulation.RunUntil(10 * kSecond, [&] { return IsVoter(cut); }));
+      mSimulation.RunUntil(10 * kSecond, [&] { return IsVoter(isolated); }));
     CPPUNIT_ASSERT_EQUAL(std::size_t(5), mSimulation.Voters());
   }
 
@@ -363,8 +364,8 @@
       !mSimulation.Commit("10.0.0.4:1", PutPolicyCommand(2, 1, "another two")));
   }
 
-  // A late reply to a command of the previous process must not acknowledge
-  // another command that got the same id after the restart.
+  // A late reply to a command of the previous process must not acknowledge a
+  // command that was submitted after the restart.
   void ReplyToACommandOfAPreviousProcessIsIgnored()
   {
     FleetSimulation simulation(7);
@@ -724,23 +725,23 @@
   {
     FleetSimulation simulation(aSeed);
     std::mt19937_64 random(aSeed);
-    const auto below = [&](std::uint64_t aMost) {
-      return static_cast<int>(random() % aMost);
+    const auto randomBelow = [&](std::uint64_t aBound) {
+      return static_cast<int>(random() % aBound);
     };
-    const int disks = 3 + below(3);
-    const int hosts = disks + 3 + below(8);
+    const int disks = 3 + randomBelow(3);
+    const int hosts = disks + 3 + randomBelow(8);
     simulation.StartFleet(disks, hosts - disks, 1);
     WaitForVoters(simulation, static_cast<std::size_t>(disks));
     if (!simulation.Commit("10.0.0.1:1", PutPolicyCommand(1, 0, "one"))) {
       return "the first policy was not committed";
     }
     const auto randomAddress = [&] {
-      return "10.0.0." + std::to_string(1 + below(hosts)) + ":1";
+      return "10.0.0." + std::to_string(1 + randomBelow(hosts)) + ":1";
     };
     std::set<std::string> down;
     bool wiped = false;
     for (int step = 0; step < 6; ++step) {
-      switch (below(5)) {
+      switch (randomBelow(5)) {
         case 0:
           simulation.ReplaceSeeds(
             { randomAddress(), randomAddress(), randomAddress() });
@@ -773,15 +774,15 @@
           simulation.mIsolated.insert(randomAddress());
           break;
       }
-      simulation.Advance(below(1500) * kMillisecond);
+      simulation.Advance(randomBelow(1500) * kMillisecond);
       for (const std::string& address : down) {
         simulation.Start(address, false);
       }
       down.clear();
-      if (below(2) == 0) {
+      if (randomBelow(2) == 0) {
         simulation.mIsolated.clear();
       }
-      simulation.Advance(below(2000) * kMillisecond);
+      simulation.Advance(randomBelow(2000) * kMillisecond);
     }
     simulation.mIsolated.clear();
     const auto serves = [&] {
