--- a/tests/fakes/fleet_schedule_runner.cpp
+++ b/tests/fakes/fleet_schedule_runner.cpp
@@ -127,10 +127,10 @@
   void LogHostLines()
   {
     for (const std::string& address : mSimulation.Addresses()) {
-      for (const std::string& line : Node(address).mNotes) {
+      for (const std::string& line : Node(address).mLogLines) {
         Log(address, line);
       }
-      Node(address).mNotes.clear();
+      Node(address).mLogLines.clear();
     }
   }
 
@@ -492,8 +492,8 @@
       mPendingChange.reset();
       return;
     }
-    const auto done = node.mDone.find(mPendingChange->mId);
-    if (done == node.mDone.end()) {
+    const auto done = node.mOutcomes.find(mPendingChange->mId);
+    if (done == node.mOutcomes.end()) {
       return;
     }
     const fleet::Done& end = done->second;
--- a/tests/fakes/fleet_simulation.cpp
+++ b/tests/fakes/fleet_simulation.cpp
@@ -55,7 +55,7 @@
   node.mAlive = true;
   node.mInbox = fleet::Inbox();
   // Command ids are unique only within one process.
-  node.mDone.clear();
+  node.mOutcomes.clear();
   node.mBusyUntil = mNow;
   fleet::Output output;
   node.mState = fleet::Open(node.mSettings, node.mDisk, mNow, Random(), output);
@@ -161,10 +161,10 @@
     mQueue.emplace(mNow + kOneWayDelay, std::move(sent));
   }
   for (const fleet::Done& done : aOutput.mDone) {
-    node.mDone[done.mId] = done;
+    node.mOutcomes[done.mId] = done;
   }
   for (const fleet::Note& note : aOutput.mNotes) {
-    node.mNotes.push_back(note.mText);
+    node.mLogLines.push_back(note.mText);
   }
 }
 
@@ -303,9 +303,9 @@
 {
   const std::uint64_t id = Submit(aAddress, aCommand);
   FleetNode& node = mNodes.at(aAddress);
-  (void)RunUntil(2 * kSecond, [&] { return node.mDone.count(id) != 0; });
-  const auto found = node.mDone.find(id);
-  return found != node.mDone.end() &&
+  (void)RunUntil(2 * kSecond, [&] { return node.mOutcomes.count(id) != 0; });
+  const auto found = node.mOutcomes.find(id);
+  return found != node.mOutcomes.end() &&
          found->second.mEnd == fleet::SubmitEnd::Committed &&
          found->second.mOutcome.accepted();
 }
--- a/tests/fakes/fleet_simulation.h
+++ b/tests/fakes/fleet_simulation.h
@@ -26,8 +26,9 @@
   std::deque<consensus::Write> mUnsynced;
   bool mAlive = false;
   /// Outcomes of submitted commands, by command id.
-  std::map<std::uint64_t, fleet::Done> mDone;
-  std::vector<std::string> mNotes;
+  std::map<std::uint64_t, fleet::Done> mOutcomes;
+  /// Lines that the host logged.
+  std::vector<std::string> mLogLines;
   /// Received messages that wait for processor time.
   fleet::Inbox mInbox;
   Micros mBusyUntil = 0;
--- a/tests/fakes/policy_readers.cpp
+++ b/tests/fakes/policy_readers.cpp
@@ -33,8 +33,8 @@
   if (!node.mAlive || node.mSettings.mIncarnation != aRead.mIncarnation) {
     return true;
   }
-  const auto done = node.mDone.find(aRead.mId);
-  if (done == node.mDone.end()) {
+  const auto done = node.mOutcomes.find(aRead.mId);
+  if (done == node.mOutcomes.end()) {
     return false;
   }
   if (done->second.mEnd != fleet::SubmitEnd::Committed) {
--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -102,7 +102,7 @@
         const std::uint64_t id =
           simulation.Submit(kFollower, PutPolicyCommand(2, 1, "two"));
         simulation.Advance(ms * kMillisecond);
-        const auto& done = simulation.Node(kFollower).mDone;
+        const auto& done = simulation.Node(kFollower).mOutcomes;
         const bool acknowledged = done.count(id) != 0;
         LoseAllPower(simulation, 1, wiped);
         AssertServes(simulation,
@@ -648,9 +648,9 @@
                          const std::string& aAddress,
                          const std::string& aText)
   {
-    const auto& notes = aSimulation.Node(aAddress).mNotes;
-    return std::any_of(notes.begin(), notes.end(), [&](const auto& aNote) {
-      return aNote.find(aText) != std::string::npos;
+    const auto& lines = aSimulation.Node(aAddress).mLogLines;
+    return std::any_of(lines.begin(), lines.end(), [&](const auto& aLine) {
+      return aLine.find(aText) != std::string::npos;
     });
   }
 };
--- a/tests/fleet_partition_test.cpp
+++ b/tests/fleet_partition_test.cpp
@@ -112,7 +112,7 @@
       mSimulation.Advance(RandomBelow(kMaxOffset / 4));
       IsolateSomeHosts();
     }
-    const auto& done = mSimulation.Node(leader).mDone;
+    const auto& done = mSimulation.Node(leader).mOutcomes;
     CPPUNIT_ASSERT(
       mSimulation.RunUntil(kSecond, [&] { return done.count(id) != 0; }));
     CPPUNIT_ASSERT(done.at(id).mOutcome.accepted());
--- a/tests/fleet_read_test.cpp
+++ b/tests/fleet_read_test.cpp
@@ -136,9 +136,9 @@
     AdvanceWithAnnouncements(kOperatorTimeout);
     int answered = 0;
     for (const auto& [host, id] : reads) {
-      const auto& ends = mSimulation.Node(host).mDone;
-      const auto done = ends.find(id);
-      CPPUNIT_ASSERT_MESSAGE(host, done != ends.end());
+      const auto& outcomes = mSimulation.Node(host).mOutcomes;
+      const auto done = outcomes.find(id);
+      CPPUNIT_ASSERT_MESSAGE(host, done != outcomes.end());
       CPPUNIT_ASSERT_MESSAGE(host, done->second.mRead.mTook < kOperatorTimeout);
       const bool committed = done->second.mEnd == SubmitEnd::Committed;
       CPPUNIT_ASSERT(!committed || done->second.mOutcome.version() == 2);
@@ -187,7 +187,7 @@
     };
     mSimulation.Advance(kSecond);
     for (const std::string& address : mSimulation.Addresses()) {
-      mSimulation.Node(address).mDone.clear();
+      mSimulation.Node(address).mOutcomes.clear();
       mSimulation.Start(address, false);
     }
     mAnnounced = 0;
@@ -218,8 +218,8 @@
     const Micros asked = mSimulation.mNow;
     while (mSimulation.mNow - asked < kOperatorTimeout) {
       AdvanceWithAnnouncements(kStep);
-      const auto done = node.mDone.find(id);
-      if (done == node.mDone.end()) {
+      const auto done = node.mOutcomes.find(id);
+      if (done == node.mOutcomes.end()) {
         continue;
       }
       if (done->second.mEnd != SubmitEnd::Committed) {
--- a/tests/fleet_scale_test.cpp
+++ b/tests/fleet_scale_test.cpp
@@ -261,8 +261,8 @@
   {
     std::size_t count = 0;
     for (const std::string& address : mSimulation.Addresses()) {
-      for (const std::string& note : mSimulation.Node(address).mNotes) {
-        count += note.rfind(aStart, 0) == 0 ? 1 : 0;
+      for (const std::string& line : mSimulation.Node(address).mLogLines) {
+        count += line.rfind(aStart, 0) == 0 ? 1 : 0;
       }
     }
     return count;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -332,7 +332,7 @@
     int accepted = 0;
     std::string winner;
     for (const auto& [address, id] : submitted) {
-      const Done& done = mSimulation.Node(address).mDone.at(id);
+      const Done& done = mSimulation.Node(address).mOutcomes.at(id);
       CPPUNIT_ASSERT(done.mEnd == SubmitEnd::Committed);
       accepted += done.mOutcome.accepted() ? 1 : 0;
       winner = done.mOutcome.accepted() ? address : winner;
