--- a/tests/fleet_members_test.cpp
+++ b/tests/fleet_members_test.cpp
@@ -35,8 +35,9 @@
 // replaced voter that keeps its vote raises the quorum: three control hosts, of
 // which one is replaced as planned, would count four voters. If then all hosts
 // lose power and one control host its disk, two of the three votes needed are
-// left, so that no leader is ever elected and an acknowledged policy change is
-// lost to all hosts.
+// left: no leader is ever elected, hosts have no policy or an older one, and an
+// acknowledged change cannot be read, though it is in the logs of all control
+// hosts that kept their disks.
 class FleetMembersTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FleetMembersTest);
