--- a/src/frontend/dialect.h
+++ b/src/frontend/dialect.h
@@ -34,51 +34,51 @@
 };
 
 /// \brief Calls that hosts, targets and operators make beside requests.
-struct CallAnnounce
+struct RegisterTargetCall
 {
   wire::TargetRecord mRecord;
 };
-struct CallWithdraw
+struct RemoveTargetCall
 {
   wire::RemoveTarget mRemoval;
 };
-struct CallPutPolicy
+struct PutPolicyCall
 {
   std::string mDocument;
 };
-struct CallReadPolicy
+struct ReadPolicyCall
 {};
-struct CallResolve
+struct ResolveCall
 {
   std::string mDataCentre;
 };
-struct CallReady
+struct ReadinessCall
 {};
-struct CallMetrics
+struct MetricsCall
 {};
 /// \brief Which requests are suspected or quarantined, and why.
-struct CallQuarantine
+struct ListQuarantineCall
 {};
-struct CallRelease
+struct ReleaseRequestCall
 {
   std::uint64_t mIdentity = 0;
 };
-struct CallInvalid
+struct InvalidCall
 {
   int mStatus = 404;
   std::string mReason;
 };
 
-using Call = std::variant<CallInvalid,
-                          CallAnnounce,
-                          CallWithdraw,
-                          CallPutPolicy,
-                          CallReadPolicy,
-                          CallResolve,
-                          CallReady,
-                          CallMetrics,
-                          CallQuarantine,
-                          CallRelease>;
+using Call = std::variant<InvalidCall,
+                          RegisterTargetCall,
+                          RemoveTargetCall,
+                          PutPolicyCall,
+                          ReadPolicyCall,
+                          ResolveCall,
+                          ReadinessCall,
+                          MetricsCall,
+                          ListQuarantineCall,
+                          ReleaseRequestCall>;
 
 /// \brief How one deployment's parties speak: names and free functions.
 struct Dialect
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -18,38 +18,38 @@
                               const HttpRequest& aRequest)
 {
   Call call = mDialect.mReadCall(aRequest);
-  if (auto* announce = std::get_if<CallAnnounce>(&call)) {
+  if (auto* announce = std::get_if<RegisterTargetCall>(&call)) {
     Post(gateway::Announce{ aExchange, std::move(announce->mRecord) });
-  } else if (auto* withdraw = std::get_if<CallWithdraw>(&call)) {
+  } else if (auto* withdraw = std::get_if<RemoveTargetCall>(&call)) {
     Post(gateway::Withdraw{ aExchange, std::move(withdraw->mRemoval) });
-  } else if (auto* put = std::get_if<CallPutPolicy>(&call)) {
+  } else if (auto* put = std::get_if<PutPolicyCall>(&call)) {
     Post(gateway::PutPolicy{ aExchange, std::move(put->mDocument) });
-  } else if (std::holds_alternative<CallReadPolicy>(call)) {
+  } else if (std::holds_alternative<ReadPolicyCall>(call)) {
     TakeRead(aExchange, aRequest);
-  } else if (const auto* resolve = std::get_if<CallResolve>(&call)) {
+  } else if (const auto* resolve = std::get_if<ResolveCall>(&call)) {
     const std::vector<std::string> addresses =
       gateway::AddressesFor(mState, resolve->mDataCentre, mNow);
     AnswerCall(aExchange,
                addresses.empty()
                  ? MakeResponse(503, "text/plain", "no host is ready\n")
                  : mDialect.mWriteAddresses(addresses, mSettings.mAnswerKeep));
-  } else if (std::holds_alternative<CallReady>(call)) {
+  } else if (std::holds_alternative<ReadinessCall>(call)) {
     const bool ready = gateway::IsReady(mState);
     AnswerCall(aExchange,
                MakeResponse(
                  ready ? 200 : 503, "text/plain", ready ? "ready\n" : "not\n"));
-  } else if (std::holds_alternative<CallQuarantine>(call)) {
+  } else if (std::holds_alternative<ListQuarantineCall>(call)) {
     AnswerCall(
       aExchange,
       MakeResponse(200,
                    "application/json",
                    QuarantineText(mState.mDispatch.mQuarantine, mNow)));
-  } else if (const auto* release = std::get_if<CallRelease>(&call)) {
+  } else if (const auto* release = std::get_if<ReleaseRequestCall>(&call)) {
     Post(gateway::ReleaseRequest{ aExchange, release->mIdentity });
-  } else if (std::holds_alternative<CallMetrics>(call)) {
+  } else if (std::holds_alternative<MetricsCall>(call)) {
     AnswerCall(aExchange, MakeResponse(200, "text/plain", MetricsText()));
   } else {
-    const auto& invalid = std::get<CallInvalid>(call);
+    const auto& invalid = std::get<InvalidCall>(call);
     ++mState.mDispatch.mCounters["calls_refused"];
     edge::WriteLog(
       2,
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/own_dialect.cpp
@@ -60,12 +60,12 @@
 Call ReadTargetCall(const HttpRequest& aRequest, const std::string& aId)
 {
   if (aRequest.mMethod == "PUT") {
-    return CallAnnounce{ RecordOf(aId, aRequest.mBody) };
+    return RegisterTargetCall{ RecordOf(aId, aRequest.mBody) };
   }
   if (aRequest.mMethod == "DELETE") {
-    return CallWithdraw{ RemovalOf(aId, aRequest.mBody) };
+    return RemoveTargetCall{ RemovalOf(aId, aRequest.mBody) };
   }
-  return CallInvalid{ 405, "targets take PUT and DELETE" };
+  return InvalidCall{ 405, "targets take PUT and DELETE" };
 }
 
 Call ReadPath(const HttpRequest& aRequest)
@@ -78,28 +78,28 @@
   }
   if (path == "/policy") {
     if (aRequest.mMethod == "PUT") {
-      return CallPutPolicy{ aRequest.mBody };
+      return PutPolicyCall{ aRequest.mBody };
     }
-    return CallReadPolicy{};
+    return ReadPolicyCall{};
   }
   if (path == "/resolve") {
     for (const auto& [name, value] : uri.getQueryParameters()) {
       if (name == "data_centre") {
-        return CallResolve{ value };
+        return ResolveCall{ value };
       }
     }
-    return CallResolve{};
+    return ResolveCall{};
   }
   if (path == "/ready") {
-    return CallReady{};
+    return ReadinessCall{};
   }
   if (path == "/metrics") {
-    return CallMetrics{};
+    return MetricsCall{};
   }
   if (std::optional<Call> call = ReadQuarantineCall(aRequest.mMethod, path)) {
     return *call;
   }
-  return CallInvalid{ 404, "no such call" };
+  return InvalidCall{ 404, "no such call" };
 }
 
 Call ReadCall(const HttpRequest& aRequest)
@@ -107,7 +107,7 @@
   try {
     return ReadPath(aRequest);
   } catch (const Poco::Exception& error) {
-    return CallInvalid{ 400, error.displayText() };
+    return InvalidCall{ 400, error.displayText() };
   }
 }
 
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -34,7 +34,7 @@
                                        const std::string& aPath)
 {
   if (aPath == kPath && aMethod == "GET") {
-    return CallQuarantine{};
+    return ListQuarantineCall{};
   }
   if (aMethod != "DELETE" || aPath.size() <= kPath.size() + 1 ||
       aPath.compare(0, kPath.size(), kPath) != 0 ||
@@ -44,9 +44,9 @@
   Poco::UInt64 identity = 0;
   if (!Poco::NumberParser::tryParseHex64(aPath.substr(kPath.size() + 1),
                                          identity)) {
-    return CallInvalid{ 400, "an identity has 16 hexadecimal digits" };
+    return InvalidCall{ 400, "an identity has 16 hexadecimal digits" };
   }
-  return CallRelease{ identity };
+  return ReleaseRequestCall{ identity };
 }
 
 std::string QuarantineText(const quarantine::State& aState, Micros aNow)
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -144,24 +144,25 @@
            R"({"service":"s","address":"10.0.0.1:80","zone":"z",
 "version":"v1","slots":2,"state":"draining","warmup_left":"1.5s",
 "sequence":4})");
-    const auto& record = std::get<frontend::CallAnnounce>(announce).mRecord;
+    const auto& record =
+      std::get<frontend::RegisterTargetCall>(announce).mRecord;
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"), record.id());
     CPPUNIT_ASSERT_EQUAL(std::string("z"), record.data_centre());
     CPPUNIT_ASSERT(record.draining());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), record.sequence());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t(1500), record.warm_up_ms());
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallWithdraw>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::RemoveTargetCall>(
       Read("POST", "/v1/rpc?call=instances.deregister&of=i-1", "")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallPutPolicy>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::PutPolicyCall>(
       Read("POST", "/v1/rpc?call=config.put", "{}")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallReadPolicy>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::ReadPolicyCall>(
       Read("POST", "/v1/rpc?call=config.get", "")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallReady>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::ReadinessCall>(
       Read("GET", "/v1/ready", "")));
     const frontend::Call resolve =
       Read("GET", "/v1/resolve?name=a.example&region=r&zone=z", "");
     CPPUNIT_ASSERT_EQUAL(std::string("z"),
-                         std::get<frontend::CallResolve>(resolve).mDataCentre);
+                         std::get<frontend::ResolveCall>(resolve).mDataCentre);
   }
 
   void TimeOfBirthIsReadWhereItIsSaid()
@@ -172,12 +173,13 @@
            Replaced(kBeat, "{", "{\"born\":1790000000123,"));
     CPPUNIT_ASSERT_EQUAL(
       std::uint64_t(1790000000123),
-      std::get<frontend::CallAnnounce>(announce).mRecord.born_ms());
+      std::get<frontend::RegisterTargetCall>(announce).mRecord.born_ms());
     const frontend::Call withdraw =
       Read("POST",
            "/v1/rpc?call=instances.deregister&of=i-1",
            R"({"born":1790000000123})");
-    const auto& removal = std::get<frontend::CallWithdraw>(withdraw).mRemoval;
+    const auto& removal =
+      std::get<frontend::RemoveTargetCall>(withdraw).mRemoval;
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"), removal.id());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1790000000123), removal.born_ms());
   }
@@ -185,7 +187,7 @@
   void HeartbeatOfAnotherWriterNamesNoTarget()
   {
     const char* path = "/v1/rpc?call=instances.heartbeat&of=i-1";
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallAnnounce>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::RegisterTargetCall>(
       Read("POST", path, kBeat)));
     const std::pair<std::string, std::string> changes[] = {
       { "\"service\":\"s\",", "" },
@@ -222,12 +224,12 @@
     for (const auto& [from, to] : changes) {
       const std::string body = Replaced(kBeat, from, to);
       CPPUNIT_ASSERT_MESSAGE(body,
-                             std::holds_alternative<frontend::CallInvalid>(
+                             std::holds_alternative<frontend::InvalidCall>(
                                Read("POST", path, body)));
     }
     for (const std::string& body :
          { std::string("\xff\xfe\x00{", 4), std::string("null") }) {
-      CPPUNIT_ASSERT(std::holds_alternative<frontend::CallInvalid>(
+      CPPUNIT_ASSERT(std::holds_alternative<frontend::InvalidCall>(
         Read("POST", path, body)));
     }
   }
@@ -245,7 +247,7 @@
     };
     for (const auto& [target, body] : calls) {
       CPPUNIT_ASSERT_MESSAGE(target + " " + body,
-                             std::holds_alternative<frontend::CallInvalid>(
+                             std::holds_alternative<frontend::InvalidCall>(
                                Read("POST", target, body)));
     }
   }
