--- a/src/frontend/dialect.h
+++ b/src/frontend/dialect.h
@@ -85,12 +85,13 @@
 {
   FieldNames mNames;
   /// Reads a call from a request.
-  Call (*mReadCall)(const HttpRequest&) = nullptr;
+  Call (*mParseCall)(const HttpRequest&) = nullptr;
   /// The answer to an operation.
-  HttpResponse (*mWriteEnd)(const gateway::AnswerOperation&) = nullptr;
+  HttpResponse (*mMakeOperationResponse)(const gateway::AnswerOperation&) =
+    nullptr;
   /// The answer to where a service's hosts are.
-  HttpResponse (*mWriteAddresses)(const std::vector<std::string>&,
-                                  Micros aKeep) = nullptr;
+  HttpResponse (*mMakeAddressResponse)(const std::vector<std::string>&,
+                                       Micros aTtl) = nullptr;
   gateway::PolicyDecoder mDecodePolicy = nullptr;
 };
 
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -17,7 +17,7 @@
 void GatewayProcess::TakeCall(std::uint64_t aExchange,
                               const HttpRequest& aRequest)
 {
-  Call call = mDialect.mReadCall(aRequest);
+  Call call = mDialect.mParseCall(aRequest);
   if (auto* announce = std::get_if<RegisterTargetCall>(&call)) {
     Post(gateway::Announce{ aExchange, std::move(announce->mRecord) });
   } else if (auto* withdraw = std::get_if<RemoveTargetCall>(&call)) {
@@ -29,10 +29,11 @@
   } else if (const auto* resolve = std::get_if<ResolveCall>(&call)) {
     const std::vector<std::string> addresses =
       gateway::AddressesFor(mState, resolve->mDataCentre, mNow);
-    AnswerCall(aExchange,
-               addresses.empty()
-                 ? MakeResponse(503, "text/plain", "no host is ready\n")
-                 : mDialect.mWriteAddresses(addresses, mSettings.mAnswerKeep));
+    AnswerCall(
+      aExchange,
+      addresses.empty()
+        ? MakeResponse(503, "text/plain", "no host is ready\n")
+        : mDialect.mMakeAddressResponse(addresses, mSettings.mAnswerKeep));
   } else if (std::holds_alternative<ReadinessCall>(call)) {
     const bool ready = gateway::IsReady(mState);
     AnswerCall(aExchange,
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -123,7 +123,7 @@
   AnswerCall(aEffect.mOperation,
              elsewhere && url != mReadUrls.end()
                ? RedirectTo(aEffect.mElsewhere, url->second)
-               : mDialect.mWriteEnd(aEffect));
+               : mDialect.mMakeOperationResponse(aEffect));
   if (url != mReadUrls.end()) {
     mReadUrls.erase(url);
   }
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/own_dialect.cpp
@@ -57,7 +57,7 @@
   return removal;
 }
 
-Call ReadTargetCall(const HttpRequest& aRequest, const std::string& aId)
+Call ParseTargetCall(const HttpRequest& aRequest, const std::string& aId)
 {
   if (aRequest.mMethod == "PUT") {
     return RegisterTargetCall{ RecordOf(aId, aRequest.mBody) };
@@ -68,13 +68,13 @@
   return InvalidCall{ 405, "targets take PUT and DELETE" };
 }
 
-Call ReadPath(const HttpRequest& aRequest)
+Call ParsePath(const HttpRequest& aRequest)
 {
   const Poco::URI uri(aRequest.mTarget);
   const std::string& path = uri.getPath();
   if (path.compare(0, kTargets.size(), kTargets) == 0 &&
       path.size() > kTargets.size()) {
-    return ReadTargetCall(aRequest, path.substr(kTargets.size()));
+    return ParseTargetCall(aRequest, path.substr(kTargets.size()));
   }
   if (path == "/policy") {
     if (aRequest.mMethod == "PUT") {
@@ -96,41 +96,41 @@
   if (path == "/metrics") {
     return MetricsCall{};
   }
-  if (std::optional<Call> call = ReadQuarantineCall(aRequest.mMethod, path)) {
+  if (std::optional<Call> call = ParseQuarantineCall(aRequest.mMethod, path)) {
     return *call;
   }
   return InvalidCall{ 404, "no such call" };
 }
 
-Call ReadCall(const HttpRequest& aRequest)
+Call ParseCall(const HttpRequest& aRequest)
 {
   try {
-    return ReadPath(aRequest);
+    return ParsePath(aRequest);
   } catch (const Poco::Exception& error) {
     return InvalidCall{ 400, error.displayText() };
   }
 }
 
-HttpResponse WriteEnd(const gateway::AnswerOperation& aEnd)
+HttpResponse MakeOperationResponse(const gateway::AnswerOperation& aResult)
 {
   using gateway::OperationEnd;
-  if (aEnd.mEnd == OperationEnd::Done) {
-    return MakeResponse(200, "text/plain", aEnd.mDocument);
+  if (aResult.mEnd == OperationEnd::Done) {
+    return MakeResponse(200, "text/plain", aResult.mDocument);
   }
   Object error;
-  error.set("error", gateway::ToString(aEnd.mEnd));
-  error.set("message", aEnd.mReason);
+  error.set("error", gateway::ToString(aResult.mEnd));
+  error.set("message", aResult.mReason);
   int status = 503;
-  if (aEnd.mEnd == OperationEnd::Invalid) {
+  if (aResult.mEnd == OperationEnd::Invalid) {
     status = 400;
-  } else if (aEnd.mEnd == OperationEnd::Conflict) {
+  } else if (aResult.mEnd == OperationEnd::Conflict) {
     status = 409;
   }
   return MakeResponse(status, kJson, ToText(error));
 }
 
-HttpResponse WriteAddresses(const std::vector<std::string>& aAddresses,
-                            Micros aKeep)
+HttpResponse MakeAddressResponse(const std::vector<std::string>& aAddresses,
+                                 Micros aTtl)
 {
   Poco::JSON::Array::Ptr addresses = new Poco::JSON::Array;
   for (const std::string& address : aAddresses) {
@@ -138,7 +138,7 @@
   }
   Object answer;
   answer.set("addresses", addresses);
-  answer.set("keep_ms", aKeep / kMillisecond);
+  answer.set("keep_ms", aTtl / kMillisecond);
   return MakeResponse(200, kJson, ToText(answer));
 }
 
@@ -154,9 +154,9 @@
   dialect.mNames.mTargetId = "Target-Id";
   dialect.mNames.mLoad = "Target-Load";
   dialect.mNames.mLimit = "Target-Limit";
-  dialect.mReadCall = ReadCall;
-  dialect.mWriteEnd = WriteEnd;
-  dialect.mWriteAddresses = WriteAddresses;
+  dialect.mParseCall = ParseCall;
+  dialect.mMakeOperationResponse = MakeOperationResponse;
+  dialect.mMakeAddressResponse = MakeAddressResponse;
   dialect.mDecodePolicy = policy::DecodePolicyFile;
   return dialect;
 }
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-std::optional<Call> ReadQuarantineCall(const std::string& aMethod,
-                                       const std::string& aPath)
+std::optional<Call> ParseQuarantineCall(const std::string& aMethod,
+                                        const std::string& aPath)
 {
   if (aPath == kPath && aMethod == "GET") {
     return ListQuarantineCall{};
--- a/src/frontend/quarantine_calls.h
+++ b/src/frontend/quarantine_calls.h
@@ -11,8 +11,9 @@
 namespace geraniumpond::frontend {
 
 /// \brief Reads GET /quarantine and DELETE /quarantine/IDENTITY.
-[[nodiscard]] std::optional<Call> ReadQuarantineCall(const std::string& aMethod,
-                                                     const std::string& aPath);
+[[nodiscard]] std::optional<Call> ParseQuarantineCall(
+  const std::string& aMethod,
+  const std::string& aPath);
 
 /// \brief Suspected and quarantined requests with their evidence, as JSON.
 [[nodiscard]] std::string QuarantineText(const quarantine::State& aState,
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -264,11 +264,13 @@
     };
     for (const auto& [end, status] : ends) {
       CPPUNIT_ASSERT_EQUAL(
-        status, dialect.mWriteEnd({ 1, end, "why", "", "" }).mStatus);
+        status,
+        dialect.mMakeOperationResponse({ 1, end, "why", "", "" }).mStatus);
     }
     CPPUNIT_ASSERT_EQUAL(
       std::string(R"({"addresses":["10.0.0.1:80"],"ttl":"1200ms"})"),
-      dialect.mWriteAddresses({ "10.0.0.1:80" }, 1200 * kMillisecond).mBody);
+      dialect.mMakeAddressResponse({ "10.0.0.1:80" }, 1200 * kMillisecond)
+        .mBody);
   }
 
   void NamesOfThePlatformStandInItsFolderAlone()
@@ -374,7 +376,7 @@
     request.mMethod = aMethod;
     request.mTarget = aTarget;
     request.mBody = aBody;
-    return ReadCall(request);
+    return ParseCall(request);
   }
 };
 
