--- a/src/frontend/dialect.h
+++ b/src/frontend/dialect.h
@@ -19,7 +19,7 @@
   /// have no such field.
   std::string mSignature;
   /// Milliseconds that the sender of a request waits.
-  std::string mPatience;
+  std::string mTimeout;
   /// Id of the only target that may run the request.
   std::string mExpectedTarget;
   /// In an answer: the target did not run the request.
@@ -83,7 +83,7 @@
 /// \brief How one deployment's parties speak: names and free functions.
 struct Dialect
 {
-  FieldNames mNames;
+  FieldNames mFieldNames;
   /// Reads a call from a request.
   Call (*mParseCall)(const HttpRequest&) = nullptr;
   /// The answer to an operation.
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -25,7 +25,7 @@
 std::string RequestBytes(const HttpRequest& aRequest,
                          const FieldNames& aNames,
                          const std::string& aTarget,
-                         Micros aPatience)
+                         Micros aTimeout)
 {
   std::string out;
   out.reserve(512 + aRequest.mBody.size());
@@ -37,15 +37,14 @@
       framed = true;
       continue;
     }
-    if (IsHopField(aRequest.mFields, name) ||
-        SameName(name, aNames.mPatience) ||
+    if (IsHopField(aRequest.mFields, name) || SameName(name, aNames.mTimeout) ||
         SameName(name, aNames.mExpectedTarget)) {
       continue;
     }
     out += name + ": " + value + "\r\n";
   }
-  const Micros left = std::max<Micros>(1, aPatience / kMillisecond);
-  out += aNames.mPatience + ": " + std::to_string(left) + "\r\n";
+  const Micros left = std::max<Micros>(1, aTimeout / kMillisecond);
+  out += aNames.mTimeout + ": " + std::to_string(left) + "\r\n";
   out += aNames.mExpectedTarget + ": " + aTarget + "\r\n";
   if (framed) {
     out += "Content-Length: " + std::to_string(aRequest.mBody.size()) + "\r\n";
@@ -70,14 +69,14 @@
   }
   const HttpRequest& request = found->second.mRequest;
   const std::string* id =
-    FindField(request.mFields, mDialect.mNames.mRequestId);
+    FindField(request.mFields, mDialect.mFieldNames.mRequestId);
   Shipment shipment;
   shipment.mRequest = aEffect.mRequest;
   shipment.mAttempt = aEffect.mAttempt;
   shipment.mTarget = aEffect.mTarget;
   shipment.mAddress = aEffect.mAddress;
   shipment.mBytes = RequestBytes(request,
-                                 mDialect.mNames,
+                                 mDialect.mFieldNames,
                                  aEffect.mTargetName,
                                  aEffect.mDeadline - mNow - kAnswerTrip);
   shipment.mRequestId = id == nullptr ? "" : *id;
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -75,7 +75,7 @@
 
   void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) override
   {
-    const FieldNames& names = mProcess.mDialect.mNames;
+    const FieldNames& names = mProcess.mDialect.mFieldNames;
     dispatch::Arrival arrival;
     arrival.mId = aExchange;
     const std::string* id = FindField(aRequest.mFields, names.mRequestId);
@@ -84,10 +84,10 @@
     arrival.mPath = aRequest.mTarget;
     arrival.mContentDigest =
       ContentDigest(aRequest, mProcess.mSettings.mCallerFields);
-    const std::string* patience = FindField(aRequest.mFields, names.mPatience);
+    const std::string* timeout = FindField(aRequest.mFields, names.mTimeout);
     Poco::Int64 milliseconds = 0;
-    if (patience != nullptr &&
-        Poco::NumberParser::tryParse64(*patience, milliseconds)) {
+    if (timeout != nullptr &&
+        Poco::NumberParser::tryParse64(*timeout, milliseconds)) {
       arrival.mPatience = std::max<Micros>(1, milliseconds * kMillisecond);
     }
     Exchange& exchange = mProcess.mExchanges[aExchange];
@@ -147,7 +147,7 @@
   , mDialect(aDialect)
   , mClockOffset(WallNow() - SteadyNow())
   , mRandom(RandomWord())
-  , mTargets(mLoop, aDialect.mNames, *this)
+  , mTargets(mLoop, aDialect.mFieldNames, *this)
   , mCallerSink(std::make_unique<Callers>(*this))
   , mOperatorSink(std::make_unique<Operators>(*this))
 {
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/own_dialect.cpp
@@ -147,13 +147,13 @@
 Dialect OwnDialect()
 {
   Dialect dialect;
-  dialect.mNames.mRequestId = "Request-Id";
-  dialect.mNames.mPatience = "Patience-Ms";
-  dialect.mNames.mExpectedTarget = "Expected-Target";
-  dialect.mNames.mNotRun = "Not-Run";
-  dialect.mNames.mTargetId = "Target-Id";
-  dialect.mNames.mLoad = "Target-Load";
-  dialect.mNames.mLimit = "Target-Limit";
+  dialect.mFieldNames.mRequestId = "Request-Id";
+  dialect.mFieldNames.mTimeout = "Patience-Ms";
+  dialect.mFieldNames.mExpectedTarget = "Expected-Target";
+  dialect.mFieldNames.mNotRun = "Not-Run";
+  dialect.mFieldNames.mTargetId = "Target-Id";
+  dialect.mFieldNames.mLoad = "Target-Load";
+  dialect.mFieldNames.mLimit = "Target-Limit";
   dialect.mParseCall = ParseCall;
   dialect.mMakeOperationResponse = MakeOperationResponse;
   dialect.mMakeAddressResponse = MakeAddressResponse;
