--- a/src/cli/gateway.cpp
+++ b/src/cli/gateway.cpp
@@ -26,7 +26,7 @@
     return ExitCode::Failed;
   }
   return static_cast<ExitCode>(
-    frontend::RunGateway(settings.mValue, frontend::OwnDialect()));
+    frontend::RunGateway(settings.mValue, frontend::NativeDialect()));
 }
 
 ExitCode RunPlatformHost(const Arguments&)
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/own_dialect.cpp
@@ -144,7 +144,7 @@
 
 } // namespace
 
-Dialect OwnDialect()
+Dialect NativeDialect()
 {
   Dialect dialect;
   dialect.mFieldNames.mRequestId = "Request-Id";
--- a/src/frontend/own_dialect.h
+++ b/src/frontend/own_dialect.h
@@ -5,6 +5,6 @@
 namespace geraniumpond::frontend {
 
 /// \brief What a gateway speaks by itself; see docs/INTERFACES.md.
-[[nodiscard]] Dialect OwnDialect();
+[[nodiscard]] Dialect NativeDialect();
 
 } // namespace geraniumpond::frontend
--- a/tests/gateway_stop_test.cpp
+++ b/tests/gateway_stop_test.cpp
@@ -150,7 +150,7 @@
 private:
   void Run()
   {
-    GatewayProcess process(mSettings, OwnDialect());
+    GatewayProcess process(mSettings, NativeDialect());
     const bool started = static_cast<bool>(process.Start());
     bool stopping = false;
     while (started && process.RunOnce()) {
