--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Pause before a disk that failed is tried again.
-constexpr std::chrono::milliseconds kRetryPause{ 100 };
+constexpr std::chrono::milliseconds kRetryDelay{ 100 };
 
 wire::Persist ToPersist(const consensus::Write& aWrite)
 {
@@ -49,11 +49,11 @@
 } // namespace
 
 Result<OpenedDisk> OpenDisk(const std::string& aFolder,
-                            bool aFounds,
+                            bool aIsFounder,
                             const wire::Membership& aFounders,
                             const std::string& aStorage)
 {
-  if (aFounds) {
+  if (aIsFounder) {
     const Result<bool> made = edge::InitFounder(aFolder, aFounders);
     if (!made && made.error().mCode != ErrorCode::Conflict) {
       return made.error();
@@ -76,23 +76,23 @@
 }
 
 Result<std::unique_ptr<DiskWriter>> DiskWriter::Open(const std::string& aFolder,
-                                                     Synced aSynced,
-                                                     Trouble aTrouble)
+                                                     SyncedCallback aOnSynced,
+                                                     ErrorCallback aOnError)
 {
   Result<std::unique_ptr<edge::LogWriter>> log = edge::LogWriter::Open(aFolder);
   if (!log) {
     return log.error();
   }
   return std::unique_ptr<DiskWriter>(new DiskWriter(
-    std::move(log.value()), std::move(aSynced), std::move(aTrouble)));
+    std::move(log.value()), std::move(aOnSynced), std::move(aOnError)));
 }
 
 DiskWriter::DiskWriter(std::unique_ptr<edge::LogWriter> aLog,
-                       Synced aSynced,
-                       Trouble aTrouble)
+                       SyncedCallback aOnSynced,
+                       ErrorCallback aOnError)
   : mLog(std::move(aLog))
-  , mSynced(std::move(aSynced))
-  , mTrouble(std::move(aTrouble))
+  , mOnSynced(std::move(aOnSynced))
+  , mOnError(std::move(aOnError))
   , mThread([this] { Run(); })
 {
 }
@@ -140,28 +140,28 @@
     const Result<bool> written = WriteAll(batch);
     if (written) {
       if (failing) {
-        mTrouble("");
+        mOnError("");
       }
       failing = false;
-      mSynced(batch.back().mSequence);
+      mOnSynced(batch.back().mSequence);
       lock.lock();
       continue;
     }
     if (!failing) {
-      mTrouble(written.error().mMessage);
+      mOnError(written.error().mMessage);
     }
     failing = true;
     // What may have reached the file in part is written anew as a whole.
     const Result<bool> rewound = mLog->Rewind();
     if (!rewound) {
-      mTrouble(rewound.error().mMessage);
+      mOnError(rewound.error().mMessage);
     }
     lock.lock();
     batch.insert(batch.end(),
                  std::make_move_iterator(mQueue.begin()),
                  std::make_move_iterator(mQueue.end()));
     mQueue = std::move(batch);
-    mQueued.wait_for(lock, kRetryPause, [this] { return mStopping; });
+    mQueued.wait_for(lock, kRetryDelay, [this] { return mStopping; });
   }
 }
 
--- a/src/frontend/disk_writer.h
+++ b/src/frontend/disk_writer.h
@@ -27,7 +27,7 @@
 /// \brief Reads a data folder; makes the disk of a founder or a joiner where
 /// there is none yet.
 [[nodiscard]] Result<OpenedDisk> OpenDisk(const std::string& aFolder,
-                                          bool aFounds,
+                                          bool aIsFounder,
                                           const wire::Membership& aFounders,
                                           const std::string& aStorage);
 
@@ -39,12 +39,14 @@
 {
 public:
   /// \brief Called by the writer's thread with the sequence that is on disk.
-  using Synced = std::function<void(std::uint64_t)>;
+  using SyncedCallback = std::function<void(std::uint64_t)>;
   /// \brief Called by the writer's thread when the disk fails or recovers.
-  using Trouble = std::function<void(const std::string&)>;
+  using ErrorCallback = std::function<void(const std::string&)>;
 
-  [[nodiscard]] static Result<std::unique_ptr<DiskWriter>>
-  Open(const std::string& aFolder, Synced aSynced, Trouble aTrouble);
+  [[nodiscard]] static Result<std::unique_ptr<DiskWriter>> Open(
+    const std::string& aFolder,
+    SyncedCallback aOnSynced,
+    ErrorCallback aOnError);
   ~DiskWriter();
   DiskWriter(const DiskWriter&) = delete;
   DiskWriter& operator=(const DiskWriter&) = delete;
@@ -53,15 +55,15 @@
 
 private:
   DiskWriter(std::unique_ptr<edge::LogWriter> aLog,
-             Synced aSynced,
-             Trouble aTrouble);
+             SyncedCallback aOnSynced,
+             ErrorCallback aOnError);
   void Run();
   [[nodiscard]] Result<bool> WriteAll(
     const std::vector<consensus::Write>& aBatch);
 
   std::unique_ptr<edge::LogWriter> mLog;
-  Synced mSynced;
-  Trouble mTrouble;
+  SyncedCallback mOnSynced;
+  ErrorCallback mOnError;
   std::mutex mMutex;
   std::condition_variable mQueued;
   std::vector<consensus::Write> mQueue;
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -229,7 +229,7 @@
     },
     [this](const std::string& aReason) {
       const std::lock_guard<std::mutex> lock(mInboxMutex);
-      mInbox.mTroubles.push_back(aReason);
+      mInbox.mDiskErrors.push_back(aReason);
       mLoop.Wake();
     });
   if (!writer) {
@@ -317,11 +317,10 @@
     const std::lock_guard<std::mutex> lock(mInboxMutex);
     std::swap(inbox, mInbox);
   }
-  for (const std::string& trouble : inbox.mTroubles) {
-    edge::WriteLog(trouble.empty() ? 1 : 3,
-                   trouble.empty()
-                     ? "event=disk_regained"
-                     : "event=disk_lost reason=\"" + trouble + "\"");
+  for (const std::string& error : inbox.mDiskErrors) {
+    edge::WriteLog(error.empty() ? 1 : 3,
+                   error.empty() ? "event=disk_regained"
+                                 : "event=disk_lost reason=\"" + error + "\"");
   }
   if (inbox.mSynced > 0) {
     TakeSynced(inbox.mSynced);
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -125,7 +125,7 @@
   struct Inbox
   {
     std::uint64_t mSynced = 0;
-    std::vector<std::string> mTroubles;
+    std::vector<std::string> mDiskErrors;
     std::uint64_t mUnreadable = 0;
   };
   std::mutex mInboxMutex;
