--- a/src/frontend/event_loop.h
+++ b/src/frontend/event_loop.h
@@ -42,7 +42,7 @@
   /// \brief Also waits until the descriptor takes bytes.
   void WatchWritable(int aDescriptor, Handler& aHandler, bool aWatch);
   /// \brief A paused descriptor is not read.
-  void Pause(int aDescriptor, Handler& aHandler, bool aPaused);
+  void PauseReading(int aDescriptor, Handler& aHandler, bool aPaused);
   void Remove(int aDescriptor, Handler& aHandler);
 
   /// \brief Ends a wait of Run(); may be called by any thread.
@@ -53,18 +53,18 @@
   std::size_t RunOnce(Micros aNow, Micros aUntil);
 
 private:
-  struct Watched
+  struct Registration
   {
     int mDescriptor = -1;
     std::uint32_t mEvents = 0;
   };
-  void Change(int aDescriptor, Handler& aHandler, std::uint32_t aEvents);
-  void Call(Handler& aHandler, std::uint32_t aEvents);
+  void SetEvents(int aDescriptor, Handler& aHandler, std::uint32_t aEvents);
+  void NotifyHandler(Handler& aHandler, std::uint32_t aEvents);
 
-  int mPoll = -1;
-  int mWakeup = -1;
-  std::atomic<bool> mWoken{ false };
-  std::unordered_map<Handler*, Watched> mWatched;
+  int mEpollDescriptor = -1;
+  int mWakeDescriptor = -1;
+  std::atomic<bool> mWakePending{ false };
+  std::unordered_map<Handler*, Registration> mRegistrations;
 };
 
 } // namespace geraniumpond::frontend
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -171,7 +171,7 @@
       mServer.mExchanges[exchange] = this;
       mServer.mSink.OnRequest(exchange, std::move(request));
     }
-    mSocket.Pause(!mDraining && mSocket.Unsent() > kMaxUnsent);
+    mSocket.PauseReading(!mDraining && mSocket.Unsent() > kMaxUnsent);
   }
 
   void Fault(int aStatus, const std::string& aReason)
@@ -236,7 +236,7 @@
     mDraining = true;
     mChangedAt = mServer.mNow;
     mSocket.In().clear();
-    mSocket.Pause(false);
+    mSocket.PauseReading(false);
     mSocket.FinishSending();
   }
 
--- a/src/frontend/socket.cpp
+++ b/src/frontend/socket.cpp
@@ -124,10 +124,10 @@
   (void)::shutdown(Descriptor(), SHUT_WR);
 }
 
-void BufferedSocket::Pause(bool aPaused)
+void BufferedSocket::PauseReading(bool aPaused)
 {
   if (mHandler != nullptr) {
-    mLoop.Pause(Descriptor(), *mHandler, aPaused);
+    mLoop.PauseReading(Descriptor(), *mHandler, aPaused);
   }
 }
 
--- a/src/frontend/socket.h
+++ b/src/frontend/socket.h
@@ -45,7 +45,7 @@
 
   /// \brief Says that no more bytes follow.
   void FinishSending();
-  void Pause(bool aPaused);
+  void PauseReading(bool aPaused);
   void Close();
 
   [[nodiscard]] std::string& In() noexcept { return mIn; }
