--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -55,18 +55,18 @@
   // nobody.
   void OnReadable() override
   {
-    const Received received = mSocket.Receive();
+    const ReceiveResult received = mSocket.Receive();
     if (mDraining) {
-      mSocket.In().clear();
-      if (received == Received::End || received == Received::Reset) {
+      mSocket.Input().clear();
+      if (received == ReceiveResult::End || received == ReceiveResult::Reset) {
         End();
       }
       return;
     }
-    if (received == Received::Some) {
+    if (received == ReceiveResult::Data) {
       mChangedAt = mServer.mNow;
     }
-    if (received == Received::Reset || received == Received::End ||
+    if (received == ReceiveResult::Reset || received == ReceiveResult::End ||
         mPeerClosed) {
       End();
       return;
@@ -109,7 +109,7 @@
     if (!mPending.empty() || mSocket.Unsent() > 0) {
       return;
     }
-    const bool partial = mReader.InBody() || !mSocket.In().empty();
+    const bool partial = mReader.InBody() || !mSocket.Input().empty();
     const Micros bound = partial ? limits.mHeaderTimeout : limits.mIdleTimeout;
     if (aNow - mChangedAt <= bound) {
       return;
@@ -123,7 +123,7 @@
 
   void CloseIfIdle()
   {
-    const bool partial = mReader.InBody() || !mSocket.In().empty();
+    const bool partial = mReader.InBody() || !mSocket.Input().empty();
     if (!mDraining && mPending.empty() && mSocket.Unsent() == 0 && !partial) {
       BeginDrain();
     }
@@ -149,7 +149,7 @@
   {
     while (!mSocket.Closed() && !mDraining && !mCloseAfterFault &&
            !mLastTaken && mPending.size() < kMaxPipelined) {
-      const ReadStatus status = mReader.Read(mSocket.In(), mServer.mLimits);
+      const ReadStatus status = mReader.Read(mSocket.Input(), mServer.mLimits);
       if (mReader.TakeContinue() && status == ReadStatus::Partial) {
         (void)mSocket.Send("HTTP/1.1 100 Continue\r\n\r\n");
       }
@@ -226,7 +226,7 @@
       }
       return;
     }
-    if (!mSocket.In().empty()) {
+    if (!mSocket.Input().empty()) {
       TakeRequests();
     }
   }
@@ -235,9 +235,9 @@
   {
     mDraining = true;
     mChangedAt = mServer.mNow;
-    mSocket.In().clear();
+    mSocket.Input().clear();
     mSocket.PauseReading(false);
-    mSocket.FinishSending();
+    mSocket.ShutdownSend();
   }
 
   void End()
--- a/src/frontend/socket.cpp
+++ b/src/frontend/socket.cpp
@@ -45,28 +45,28 @@
 }
 
 // POCO throws on a reset, which is ordinary here.
-Received BufferedSocket::Receive()
+ReceiveResult BufferedSocket::Receive()
 {
   std::array<char, kReadBytes> bytes{};
-  Received result = Received::Nothing;
+  ReceiveResult result = ReceiveResult::WouldBlock;
   while (true) {
     const ssize_t count = ::recv(Descriptor(), bytes.data(), bytes.size(), 0);
     if (count > 0) {
       mIn.append(bytes.data(), static_cast<std::size_t>(count));
-      result = Received::Some;
+      result = ReceiveResult::Data;
       if (static_cast<std::size_t>(count) < bytes.size()) {
         return result;
       }
       continue;
     }
     if (count == 0) {
-      return Received::End;
+      return ReceiveResult::End;
     }
     if (errno == EINTR) {
       continue;
     }
     const bool empty = errno == EAGAIN || errno == EWOULDBLOCK;
-    return empty ? result : Received::Reset;
+    return empty ? result : ReceiveResult::Reset;
   }
 }
 
@@ -119,7 +119,7 @@
   return error;
 }
 
-void BufferedSocket::FinishSending()
+void BufferedSocket::ShutdownSend()
 {
   (void)::shutdown(Descriptor(), SHUT_WR);
 }
--- a/src/frontend/socket.h
+++ b/src/frontend/socket.h
@@ -9,10 +9,10 @@
 namespace geraniumpond::frontend {
 
 /// \brief How a read ended.
-enum class Received
+enum class ReceiveResult
 {
-  Some,
-  Nothing,
+  Data,
+  WouldBlock,
   /// The other side has closed in order.
   End,
   Reset
@@ -31,8 +31,8 @@
   /// \brief Starts to be called back; does nothing without a descriptor.
   void Watch(Handler& aHandler, bool aWritable);
 
-  /// \brief Reads what is there into In().
-  [[nodiscard]] Received Receive();
+  /// \brief Reads what is there into Input().
+  [[nodiscard]] ReceiveResult Receive();
 
   /// \brief Sends, or keeps what the socket does not take; false when broken.
   [[nodiscard]] bool Send(std::string aBytes);
@@ -44,11 +44,11 @@
   [[nodiscard]] int ConnectError() const;
 
   /// \brief Says that no more bytes follow.
-  void FinishSending();
+  void ShutdownSend();
   void PauseReading(bool aPaused);
   void Close();
 
-  [[nodiscard]] std::string& In() noexcept { return mIn; }
+  [[nodiscard]] std::string& Input() noexcept { return mIn; }
   [[nodiscard]] std::size_t Unsent() const noexcept
   {
     return mOut.size() - mSent;
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -154,10 +154,10 @@
         return;
       }
     }
-    const Received received = mSocket.Receive();
+    const ReceiveResult received = mSocket.Receive();
     if (mJob == Job::None) {
       // Bytes that nobody asked for, or the target's end of an idle time.
-      if (received != Received::Nothing) {
+      if (received != ReceiveResult::WouldBlock) {
         End();
       }
       return;
@@ -165,13 +165,13 @@
     if (Read()) {
       return;
     }
-    if (received == Received::End) {
+    if (received == ReceiveResult::End) {
       if (mReader.End() == ReadStatus::Complete) {
         Finish();
       } else {
         Fail("closed_early");
       }
-    } else if (received == Received::Reset) {
+    } else if (received == ReceiveResult::Reset) {
       Fail("reset");
     }
   }
@@ -234,7 +234,7 @@
   bool Read()
   {
     while (true) {
-      const ReadStatus status = mReader.Read(mSocket.In(), mHeadOnly);
+      const ReadStatus status = mReader.Read(mSocket.Input(), mHeadOnly);
       if (status == ReadStatus::Partial) {
         return false;
       }
@@ -293,7 +293,7 @@
       return true;
     }
     const bool reusable = response.mKeepAlive && !mTainted &&
-                          mSocket.In().empty() && mSocket.Unsent() == 0;
+                          mSocket.Input().empty() && mSocket.Unsent() == 0;
     if (response.mKeepAliveSeconds > 0) {
       mIdleLimit = static_cast<Micros>(
         kIdleShare * static_cast<double>(response.mKeepAliveSeconds) * kSecond);
--- a/tests/soak/peer_proxy.cpp
+++ b/tests/soak/peer_proxy.cpp
@@ -69,8 +69,8 @@
 
   void Pass(Side& aFrom)
   {
-    const frontend::Received received = aFrom.mSocket.Receive();
-    std::string bytes = std::exchange(aFrom.mSocket.In(), {});
+    const frontend::ReceiveResult received = aFrom.mSocket.Receive();
+    std::string bytes = std::exchange(aFrom.mSocket.Input(), {});
     if (&aFrom == &mNear && mFrom.empty() && mFirst.size() < kNamedWithin) {
       mFirst += bytes;
       mFrom = mProxy.HostNamedIn(mFirst);
@@ -81,8 +81,8 @@
     } else if (!bytes.empty() && !other.mSocket.Send(std::move(bytes))) {
       End();
     }
-    const bool open = received == frontend::Received::Some ||
-                      received == frontend::Received::Nothing;
+    const bool open = received == frontend::ReceiveResult::Data ||
+                      received == frontend::ReceiveResult::WouldBlock;
     if (!open) {
       End();
     }
