--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -32,13 +32,14 @@
   out += aRequest.mMethod + " " + aRequest.mTarget + " HTTP/1.1\r\n";
   bool framed = false;
   for (const auto& [name, value] : aRequest.mFields) {
-    if (SameName(name, "Content-Length") ||
-        SameName(name, "Transfer-Encoding")) {
+    if (EqualIgnoringCase(name, "Content-Length") ||
+        EqualIgnoringCase(name, "Transfer-Encoding")) {
       framed = true;
       continue;
     }
-    if (IsHopField(aRequest.mFields, name) || SameName(name, aNames.mTimeout) ||
-        SameName(name, aNames.mExpectedTarget)) {
+    if (IsHopByHopField(aRequest.mFields, name) ||
+        EqualIgnoringCase(name, aNames.mTimeout) ||
+        EqualIgnoringCase(name, aNames.mExpectedTarget)) {
       continue;
     }
     out += name + ": " + value + "\r\n";
--- a/src/frontend/http_body.cpp
+++ b/src/frontend/http_body.cpp
@@ -31,7 +31,7 @@
       aBuffer.clear();
       return ReadStatus::Partial;
     case Framing::Chunked:
-      return FeedChunks(aBuffer, aBody);
+      return FeedChunked(aBuffer, aBody);
     case Framing::Length:
       break;
   }
@@ -43,7 +43,7 @@
   return mRemaining == 0 ? ReadStatus::Complete : ReadStatus::Partial;
 }
 
-ReadStatus BodyReader::TakeSizeLine(std::string& aBuffer)
+ReadStatus BodyReader::ReadChunkSize(std::string& aBuffer)
 {
   const std::size_t end = aBuffer.find("\r\n");
   if (end == std::string::npos) {
@@ -53,9 +53,9 @@
   const std::string digits =
     Poco::trim(aBuffer.substr(0, std::min(end, aBuffer.find(';'))));
   Poco::UInt64 size = 0;
-  const bool sound = !digits.empty() && digits.size() <= 15 &&
+  const bool valid = !digits.empty() && digits.size() <= 15 &&
                      std::isxdigit(static_cast<unsigned char>(digits[0])) != 0;
-  if (!sound || !Poco::NumberParser::tryParseHex64(digits, size)) {
+  if (!valid || !Poco::NumberParser::tryParseHex64(digits, size)) {
     return ReadStatus::Malformed;
   }
   aBuffer.erase(0, end + 2);
@@ -64,7 +64,7 @@
   return ReadStatus::Complete;
 }
 
-ReadStatus BodyReader::TakeTrailerLine(std::string& aBuffer)
+ReadStatus BodyReader::SkipTrailerLine(std::string& aBuffer)
 {
   const std::size_t end = aBuffer.find("\r\n");
   if (end == std::string::npos) {
@@ -75,11 +75,11 @@
   return end == 0 ? ReadStatus::Complete : ReadStatus::Partial;
 }
 
-ReadStatus BodyReader::FeedChunks(std::string& aBuffer, std::string& aBody)
+ReadStatus BodyReader::FeedChunked(std::string& aBuffer, std::string& aBody)
 {
   while (true) {
     if (mPart == ChunkPart::Size) {
-      const ReadStatus status = TakeSizeLine(aBuffer);
+      const ReadStatus status = ReadChunkSize(aBuffer);
       if (status != ReadStatus::Complete) {
         return status;
       }
@@ -107,7 +107,7 @@
     }
     if (mPart == ChunkPart::Trailer) {
       const std::size_t before = aBuffer.size();
-      const ReadStatus status = TakeTrailerLine(aBuffer);
+      const ReadStatus status = SkipTrailerLine(aBuffer);
       if (status != ReadStatus::Partial || aBuffer.size() == before) {
         return status;
       }
--- a/src/frontend/http_message.cpp
+++ b/src/frontend/http_message.cpp
@@ -21,7 +21,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(aFields.begin(), aFields.end(), [&](const auto& aField) {
-      return SameName(aField.first, aName);
+      return EqualIgnoringCase(aField.first, aName);
     }));
 }
 
@@ -40,7 +40,7 @@
 }
 
 // A name with a space could be read otherwise by the next hop.
-bool IsSoundName(const std::string& aName)
+bool IsValidFieldName(const std::string& aName)
 {
   return !aName.empty() &&
          std::none_of(aName.begin(), aName.end(), [](char aChar) {
@@ -59,7 +59,7 @@
   return fields;
 }
 
-bool SpeaksKeepAlive(const std::string& aVersion, const HeaderFields& aFields)
+bool SupportsKeepAlive(const std::string& aVersion, const HeaderFields& aFields)
 {
   if (HasToken(aFields, "Connection", "close")) {
     return false;
@@ -90,7 +90,7 @@
 
 } // namespace
 
-bool SameName(std::string_view aLeft, std::string_view aRight)
+bool EqualIgnoringCase(std::string_view aLeft, std::string_view aRight)
 {
   return aLeft.size() == aRight.size() &&
          std::equal(
@@ -104,7 +104,7 @@
                              std::string_view aName)
 {
   for (const auto& [name, value] : aFields) {
-    if (SameName(name, aName)) {
+    if (EqualIgnoringCase(name, aName)) {
       return &value;
     }
   }
@@ -116,13 +116,13 @@
               std::string_view aToken)
 {
   for (const auto& [name, value] : aFields) {
-    if (!SameName(name, aName)) {
+    if (!EqualIgnoringCase(name, aName)) {
       continue;
     }
     std::size_t at = 0;
     while (at <= value.size()) {
       const std::size_t comma = std::min(value.find(',', at), value.size());
-      if (SameName(Poco::trim(value.substr(at, comma - at)), aToken)) {
+      if (EqualIgnoringCase(Poco::trim(value.substr(at, comma - at)), aToken)) {
         return true;
       }
       at = comma + 1;
@@ -133,10 +133,10 @@
 
 // ------------------------------------------------------------- RequestReader
 
-ReadStatus RequestReader::Refuse(int aStatus, std::string aFault)
+ReadStatus RequestReader::Refuse(int aStatus, std::string aReason)
 {
-  mFaultStatus = aStatus;
-  mFault = std::move(aFault);
+  mErrorStatus = aStatus;
+  mErrorReason = std::move(aReason);
   return ReadStatus::Malformed;
 }
 
@@ -147,7 +147,8 @@
   const std::size_t lengths = CountFields(fields, "Content-Length");
   if (encodings > 0) {
     const std::string& encoding = *FindField(fields, "Transfer-Encoding");
-    if (encodings > 1 || lengths > 0 || !SameName(encoding, "chunked")) {
+    if (encodings > 1 || lengths > 0 ||
+        !EqualIgnoringCase(encoding, "chunked")) {
       return Refuse(400, "ambiguous framing");
     }
     mBody.Start(BodyReader::Framing::Chunked, 0);
@@ -198,17 +199,18 @@
   mRequest.mMethod = parsed.getMethod();
   mRequest.mTarget = parsed.getURI();
   mRequest.mFields = FieldsOf(parsed);
-  mRequest.mKeepAlive = SpeaksKeepAlive(parsed.getVersion(), mRequest.mFields);
-  const bool sound =
-    std::all_of(mRequest.mFields.begin(),
-                mRequest.mFields.end(),
-                [](const auto& aField) { return IsSoundName(aField.first); });
-  if (!sound || mRequest.mTarget.empty() || mRequest.mTarget[0] != '/' ||
+  mRequest.mKeepAlive =
+    SupportsKeepAlive(parsed.getVersion(), mRequest.mFields);
+  const bool valid = std::all_of(
+    mRequest.mFields.begin(), mRequest.mFields.end(), [](const auto& aField) {
+      return IsValidFieldName(aField.first);
+    });
+  if (!valid || mRequest.mTarget.empty() || mRequest.mTarget[0] != '/' ||
       CountFields(mRequest.mFields, "Host") != 1) {
     return Refuse(400, "malformed request");
   }
   mHaveHead = true;
-  mWantsContinue = HasToken(mRequest.mFields, "Expect", "100-continue");
+  mExpectsContinue = HasToken(mRequest.mFields, "Expect", "100-continue");
   return StartBody(aLimits);
 }
 
@@ -228,37 +230,37 @@
   if (mRequest.mBody.size() > aLimits.mMaxBodyBytes) {
     return Refuse(413, "body too large");
   }
-  HashBody();
+  HashNewBytes();
   return body;
 }
 
 // As it comes: a large body that is hashed as a whole would hold up others.
-void RequestReader::HashBody()
+void RequestReader::HashNewBytes()
 {
   const std::string& body = mRequest.mBody;
-  if (body.size() == mHashed) {
+  if (body.size() == mHashedBytes) {
     return;
   }
   if (!mHasher) {
     mHasher.emplace();
   }
-  mHasher->Add(std::string_view(body).substr(mHashed));
-  mHashed = body.size();
+  mHasher->Add(std::string_view(body).substr(mHashedBytes));
+  mHashedBytes = body.size();
 }
 
 HttpRequest RequestReader::Take()
 {
   mRequest.mBodyDigest = mHasher ? mHasher->Digest() : 0;
   mHasher.reset();
-  mHashed = 0;
+  mHashedBytes = 0;
   mHaveHead = false;
-  mWantsContinue = false;
+  mExpectsContinue = false;
   return std::move(mRequest);
 }
 
-bool RequestReader::TakeContinue() noexcept
+bool RequestReader::TakeExpectContinue() noexcept
 {
-  return std::exchange(mWantsContinue, false);
+  return std::exchange(mExpectsContinue, false);
 }
 
 // ------------------------------------------------------------ ResponseReader
@@ -267,13 +269,13 @@
 {
   const std::size_t end = aBuffer.find(kHeadEnd);
   if (end == std::string::npos) {
-    const bool hopeless =
+    const bool malformed =
       aBuffer.size() > kMaxResponseHead ||
       aBuffer.compare(0,
                       5,
                       std::string_view("HTTP/").substr(
                         0, std::min<std::size_t>(5, aBuffer.size()))) != 0;
-    return hopeless ? ReadStatus::Malformed : ReadStatus::Partial;
+    return malformed ? ReadStatus::Malformed : ReadStatus::Partial;
   }
   Poco::Net::HTTPResponse parsed;
   try {
@@ -289,7 +291,7 @@
   mResponse.mReason = parsed.getReason();
   mResponse.mFields = FieldsOf(parsed);
   const HeaderFields& fields = mResponse.mFields;
-  mResponse.mKeepAlive = SpeaksKeepAlive(parsed.getVersion(), fields);
+  mResponse.mKeepAlive = SupportsKeepAlive(parsed.getVersion(), fields);
   mResponse.mKeepAliveSeconds = KeepAliveSeconds(fields);
   if (mResponse.mStatus < 100 || mResponse.mStatus > 599 ||
       parsed.getVersion().compare(0, 5, "HTTP/") != 0) {
@@ -303,7 +305,8 @@
     mBody.Start(BodyReader::Framing::None, 0);
   } else if (encodings > 0) {
     if (encodings > 1 || lengths > 0 ||
-        !SameName(*FindField(fields, "Transfer-Encoding"), "chunked")) {
+        !EqualIgnoringCase(*FindField(fields, "Transfer-Encoding"),
+                           "chunked")) {
       return ReadStatus::Malformed;
     }
     mBody.Start(BodyReader::Framing::Chunked, 0);
@@ -353,7 +356,7 @@
 
 // -------------------------------------------------------------------- others
 
-bool IsHopField(const HeaderFields& aFields, const std::string& aName)
+bool IsHopByHopField(const HeaderFields& aFields, const std::string& aName)
 {
   constexpr std::array<std::string_view, 10> names = {
     "Connection",
@@ -367,10 +370,11 @@
     "Proxy-Authorization",
     "Proxy-Authenticate",
   };
-  return std::any_of(
-           names.begin(),
-           names.end(),
-           [&](std::string_view aHop) { return SameName(aHop, aName); }) ||
+  return std::any_of(names.begin(),
+                     names.end(),
+                     [&](std::string_view aHopName) {
+                       return EqualIgnoringCase(aHopName, aName);
+                     }) ||
          HasToken(aFields, "Connection", aName);
 }
 
@@ -391,8 +395,8 @@
   out += "\r\n";
   const bool bodiless = aResponse.mStatus == 204 || aResponse.mStatus == 304;
   for (const auto& [name, value] : aResponse.mFields) {
-    if (IsHopField(aResponse.mFields, name) ||
-        (SameName(name, "Content-Length") && !aHeadOnly)) {
+    if (IsHopByHopField(aResponse.mFields, name) ||
+        (EqualIgnoringCase(name, "Content-Length") && !aHeadOnly)) {
       continue;
     }
     out += name;
--- a/src/frontend/http_message.h
+++ b/src/frontend/http_message.h
@@ -15,7 +15,8 @@
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
 /// \brief True for names that differ in case only.
-[[nodiscard]] bool SameName(std::string_view aLeft, std::string_view aRight);
+[[nodiscard]] bool EqualIgnoringCase(std::string_view aLeft,
+                                     std::string_view aRight);
 
 /// \brief First value of a field, names compared without case; null if absent.
 [[nodiscard]] const std::string* FindField(const HeaderFields& aFields,
@@ -89,9 +90,10 @@
     Trailer
   };
 
-  [[nodiscard]] ReadStatus FeedChunks(std::string& aBuffer, std::string& aBody);
-  [[nodiscard]] ReadStatus TakeSizeLine(std::string& aBuffer);
-  [[nodiscard]] ReadStatus TakeTrailerLine(std::string& aBuffer);
+  [[nodiscard]] ReadStatus FeedChunked(std::string& aBuffer,
+                                       std::string& aBody);
+  [[nodiscard]] ReadStatus ReadChunkSize(std::string& aBuffer);
+  [[nodiscard]] ReadStatus SkipTrailerLine(std::string& aBuffer);
 
   Framing mFraming = Framing::None;
   std::uint64_t mRemaining = 0;
@@ -110,28 +112,31 @@
   [[nodiscard]] HttpRequest Take();
 
   /// \brief Status to refuse a malformed request with, and why.
-  [[nodiscard]] int FaultStatus() const noexcept { return mFaultStatus; }
-  [[nodiscard]] const std::string& Fault() const noexcept { return mFault; }
+  [[nodiscard]] int ErrorStatus() const noexcept { return mErrorStatus; }
+  [[nodiscard]] const std::string& ErrorReason() const noexcept
+  {
+    return mErrorReason;
+  }
   [[nodiscard]] bool InBody() const noexcept { return mHaveHead; }
   /// \brief True once when the client waits for an interim answer.
-  [[nodiscard]] bool TakeContinue() noexcept;
+  [[nodiscard]] bool TakeExpectContinue() noexcept;
 
 private:
-  ReadStatus Refuse(int aStatus, std::string aFault);
+  ReadStatus Refuse(int aStatus, std::string aReason);
   [[nodiscard]] ReadStatus ReadHead(std::string& aBuffer,
                                     const policy::RequestLimits& aLimits);
   [[nodiscard]] ReadStatus StartBody(const policy::RequestLimits& aLimits);
-  void HashBody();
+  void HashNewBytes();
 
   HttpRequest mRequest;
   BodyReader mBody;
   /// Of the part of a body that is here; none without one.
   std::optional<Hasher> mHasher;
-  std::size_t mHashed = 0;
+  std::size_t mHashedBytes = 0;
   bool mHaveHead = false;
-  bool mWantsContinue = false;
-  int mFaultStatus = 400;
-  std::string mFault;
+  bool mExpectsContinue = false;
+  int mErrorStatus = 400;
+  std::string mErrorReason;
 };
 
 /// \brief Reads one answer after the other from one connection's bytes.
@@ -155,8 +160,8 @@
 };
 
 /// \brief True for fields that concern one connection only.
-[[nodiscard]] bool IsHopField(const HeaderFields& aFields,
-                              const std::string& aName);
+[[nodiscard]] bool IsHopByHopField(const HeaderFields& aFields,
+                                   const std::string& aName);
 
 /// \brief An answer as bytes, with its length.
 [[nodiscard]] std::string Serialize(const HttpResponse& aResponse,
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -150,11 +150,11 @@
     while (!mSocket.Closed() && !mDraining && !mCloseAfterFault &&
            !mLastTaken && mPending.size() < kMaxPipelined) {
       const ReadStatus status = mReader.Read(mSocket.Input(), mServer.mLimits);
-      if (mReader.TakeContinue() && status == ReadStatus::Partial) {
+      if (mReader.TakeExpectContinue() && status == ReadStatus::Partial) {
         (void)mSocket.Send("HTTP/1.1 100 Continue\r\n\r\n");
       }
       if (status == ReadStatus::Malformed) {
-        Fault(mReader.FaultStatus(), mReader.Fault());
+        Fault(mReader.ErrorStatus(), mReader.ErrorReason());
         return;
       }
       if (status == ReadStatus::Partial) {
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -76,7 +76,7 @@
   const auto read = std::from_chars(text.data(), end, perSecond);
   const auto named =
     std::count_if(aFields.begin(), aFields.end(), [&](const auto& aField) {
-      return SameName(aField.first, aName);
+      return EqualIgnoringCase(aField.first, aName);
     });
   const bool sound = named == 1 && read.ec == std::errc() && read.ptr == end &&
                      std::isfinite(perSecond) && perSecond >= 0;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -81,7 +81,7 @@
       std::string buffer = "POST / HTTP/1.1\r\n" + head + "\r\nx";
       CPPUNIT_ASSERT_MESSAGE(head,
                              reader.Read(buffer, {}) == ReadStatus::Malformed);
-      CPPUNIT_ASSERT_EQUAL(400, reader.FaultStatus());
+      CPPUNIT_ASSERT_EQUAL(400, reader.ErrorStatus());
     }
   }
 
@@ -106,7 +106,7 @@
       RequestReader reader;
       std::string buffer = entry.mText;
       CPPUNIT_ASSERT(reader.Read(buffer, limits) == ReadStatus::Malformed);
-      CPPUNIT_ASSERT_EQUAL(entry.mStatus, reader.FaultStatus());
+      CPPUNIT_ASSERT_EQUAL(entry.mStatus, reader.ErrorStatus());
     }
   }
 
