--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -96,7 +96,7 @@
     mProcess.Post(std::move(arrival));
   }
 
-  void OnGone(std::uint64_t aExchange) override
+  void OnClientDisconnected(std::uint64_t aExchange) override
   {
     mProcess.mExchanges.erase(aExchange);
     mProcess.Post(gateway::ClientGone{ aExchange });
@@ -128,7 +128,7 @@
     mProcess.TakeCall(aExchange, aRequest);
   }
   // An operation runs to its end without its caller.
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
   void OnMalformed(int aStatus, const std::string& aReason) override
   {
     edge::WriteLog(2,
@@ -387,7 +387,7 @@
   LetMessagesPass(next);
   TakeInbox();
   if (mNow >= gateway::NextTick(mState) || mState.mStopping) {
-    const bool sending = mState.mStopping && mCallerServer->Sending();
+    const bool sending = mState.mStopping && mCallerServer->HasUnsentAnswers();
     Post(gateway::TimePassed{ sending });
   }
   TickConnections();
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kBacklog = 512;
 /// Connections that are accepted before others have their turn.
-constexpr std::size_t kAcceptedAtOnce = 64;
+constexpr std::size_t kMaxAcceptsPerRound = 64;
 /// Requests of one connection that are taken side by side.
 constexpr std::size_t kMaxPipelined = 16;
 /// Answer bytes that may wait for a slow client before it is read no further.
@@ -23,11 +23,11 @@
 constexpr Micros kSweepInterval = 250 * kMillisecond;
 /// How long a closed connection is drained: closing it with unread bytes would
 /// reset it and take the last answer along.
-constexpr Micros kDrainTime = 1 * kSecond;
+constexpr Micros kLingerTimeout = 1 * kSecond;
 
 } // namespace
 
-std::uint64_t NextExchange() noexcept
+std::uint64_t NextExchangeId() noexcept
 {
   static std::uint64_t last = 0;
   return ++last;
@@ -43,7 +43,7 @@
     : mServer(aServer)
     , mId(aId)
     , mSocket(aServer.mLoop, aSocket)
-    , mChangedAt(aServer.mNow)
+    , mLastActivityAt(aServer.mNow)
   {
     mSocket.Watch(*this, false);
   }
@@ -56,7 +56,7 @@
   void OnReadable() override
   {
     const ReceiveResult received = mSocket.Receive();
-    if (mDraining) {
+    if (mLingering) {
       mSocket.Input().clear();
       if (received == ReceiveResult::End || received == ReceiveResult::Reset) {
         End();
@@ -64,14 +64,14 @@
       return;
     }
     if (received == ReceiveResult::Data) {
-      mChangedAt = mServer.mNow;
+      mLastActivityAt = mServer.mNow;
     }
     if (received == ReceiveResult::Reset || received == ReceiveResult::End ||
         mPeerClosed) {
       End();
       return;
     }
-    TakeRequests();
+    ReadRequests();
   }
 
   void OnWritable() override
@@ -80,7 +80,7 @@
       End();
       return;
     }
-    AfterSending();
+    ContinueAfterSend();
   }
 
   void Respond(std::uint64_t aExchange, const HttpResponse& aResponse)
@@ -88,7 +88,7 @@
     for (Pending& pending : mPending) {
       if (pending.mExchange == aExchange) {
         const bool close =
-          pending.mClose || mServer.mStopping || mCloseAfterFault;
+          pending.mClose || mServer.mStopping || mCloseAfterError;
         pending.mBytes = Serialize(aResponse, close, pending.mHeadOnly);
         pending.mClose = close;
         pending.mAnswered = true;
@@ -100,8 +100,8 @@
   void Sweep(Micros aNow)
   {
     const policy::RequestLimits& limits = mServer.mLimits;
-    if (mDraining) {
-      if (aNow - mChangedAt > kDrainTime) {
+    if (mLingering) {
+      if (aNow - mLastActivityAt > kLingerTimeout) {
         End();
       }
       return;
@@ -111,28 +111,28 @@
     }
     const bool partial = mReader.InBody() || !mSocket.Input().empty();
     const Micros bound = partial ? limits.mHeaderTimeout : limits.mIdleTimeout;
-    if (aNow - mChangedAt <= bound) {
+    if (aNow - mLastActivityAt <= bound) {
       return;
     }
     if (partial) {
-      Fault(408, "request not whole in time");
+      RejectMalformed(408, "request not whole in time");
     } else {
-      BeginDrain();
+      BeginLingeringClose();
     }
   }
 
   void CloseIfIdle()
   {
     const bool partial = mReader.InBody() || !mSocket.Input().empty();
-    if (!mDraining && mPending.empty() && mSocket.Unsent() == 0 && !partial) {
-      BeginDrain();
+    if (!mLingering && mPending.empty() && mSocket.Unsent() == 0 && !partial) {
+      BeginLingeringClose();
     }
   }
 
   [[nodiscard]] std::uint64_t Id() const noexcept { return mId; }
-  [[nodiscard]] bool Sending() const
+  [[nodiscard]] bool HasUnsentAnswers() const
   {
-    return mSocket.Unsent() > 0 || mDraining;
+    return mSocket.Unsent() > 0 || mLingering;
   }
 
 private:
@@ -145,39 +145,39 @@
     std::string mBytes;
   };
 
-  void TakeRequests()
+  void ReadRequests()
   {
-    while (!mSocket.Closed() && !mDraining && !mCloseAfterFault &&
-           !mLastTaken && mPending.size() < kMaxPipelined) {
+    while (!mSocket.Closed() && !mLingering && !mCloseAfterError &&
+           !mLastRequestRead && mPending.size() < kMaxPipelined) {
       const ReadStatus status = mReader.Read(mSocket.Input(), mServer.mLimits);
       if (mReader.TakeExpectContinue() && status == ReadStatus::Partial) {
         (void)mSocket.Send("HTTP/1.1 100 Continue\r\n\r\n");
       }
       if (status == ReadStatus::Malformed) {
-        Fault(mReader.ErrorStatus(), mReader.ErrorReason());
+        RejectMalformed(mReader.ErrorStatus(), mReader.ErrorReason());
         return;
       }
       if (status == ReadStatus::Partial) {
         break;
       }
       HttpRequest request = mReader.Take();
-      const std::uint64_t exchange = NextExchange();
+      const std::uint64_t exchange = NextExchangeId();
       mPending.push_back({ exchange,
                            request.mMethod == "HEAD",
                            !request.mKeepAlive,
                            false,
                            "" });
-      mLastTaken = !request.mKeepAlive;
+      mLastRequestRead = !request.mKeepAlive;
       mServer.mExchanges[exchange] = this;
       mServer.mSink.OnRequest(exchange, std::move(request));
     }
-    mSocket.PauseReading(!mDraining && mSocket.Unsent() > kMaxUnsent);
+    mSocket.PauseReading(!mLingering && mSocket.Unsent() > kMaxUnsent);
   }
 
-  void Fault(int aStatus, const std::string& aReason)
+  void RejectMalformed(int aStatus, const std::string& aReason)
   {
     mServer.mSink.OnMalformed(aStatus, aReason);
-    mCloseAfterFault = true;
+    mCloseAfterError = true;
     HttpResponse response = MakeResponse(aStatus, "text/plain", aReason + "\n");
     mPending.push_back({ 0, false, true, true, "" });
     mPending.back().mBytes = Serialize(response, true, false);
@@ -190,51 +190,51 @@
       Pending pending = std::move(mPending.front());
       mPending.pop_front();
       mServer.mExchanges.erase(pending.mExchange);
-      mChangedAt = mServer.mNow;
+      mLastActivityAt = mServer.mNow;
       if (!mSocket.Send(std::move(pending.mBytes))) {
         End();
         return;
       }
       if (pending.mClose) {
         mClosing = true;
-        LeaveUnread();
+        DropPending();
         break;
       }
     }
-    AfterSending();
+    ContinueAfterSend();
   }
 
   // What was sent behind a last answer counts as not read.
-  void LeaveUnread()
+  void DropPending()
   {
-    const std::deque<Pending> unread = std::exchange(mPending, {});
-    for (const Pending& pending : unread) {
+    const std::deque<Pending> dropped = std::exchange(mPending, {});
+    for (const Pending& pending : dropped) {
       if (mServer.mExchanges.erase(pending.mExchange) != 0) {
-        mServer.mSink.OnGone(pending.mExchange);
+        mServer.mSink.OnClientDisconnected(pending.mExchange);
       }
     }
   }
 
-  void AfterSending()
+  void ContinueAfterSend()
   {
-    if (mSocket.Closed() || mDraining) {
+    if (mSocket.Closed() || mLingering) {
       return;
     }
     if (mClosing) {
       if (mSocket.Unsent() == 0) {
-        BeginDrain();
+        BeginLingeringClose();
       }
       return;
     }
     if (!mSocket.Input().empty()) {
-      TakeRequests();
+      ReadRequests();
     }
   }
 
-  void BeginDrain()
+  void BeginLingeringClose()
   {
-    mDraining = true;
-    mChangedAt = mServer.mNow;
+    mLingering = true;
+    mLastActivityAt = mServer.mNow;
     mSocket.Input().clear();
     mSocket.PauseReading(false);
     mSocket.ShutdownSend();
@@ -246,7 +246,7 @@
       return;
     }
     mSocket.Close();
-    LeaveUnread();
+    DropPending();
     mServer.Retire(*this);
   }
 
@@ -255,11 +255,11 @@
   BufferedSocket mSocket;
   RequestReader mReader;
   std::deque<Pending> mPending;
-  Micros mChangedAt = 0;
-  bool mLastTaken = false;
-  bool mCloseAfterFault = false;
+  Micros mLastActivityAt = 0;
+  bool mLastRequestRead = false;
+  bool mCloseAfterError = false;
   bool mClosing = false;
-  bool mDraining = false;
+  bool mLingering = false;
   bool mPeerClosed = false;
 };
 
@@ -285,7 +285,7 @@
 // without POCO, which throws when none waits.
 void HttpServer::OnReadable()
 {
-  for (std::size_t i = 0; i < kAcceptedAtOnce; ++i) {
+  for (std::size_t i = 0; i < kMaxAcceptsPerRound; ++i) {
     const int descriptor = ::accept(mSocket.impl()->sockfd(), nullptr, nullptr);
     if (descriptor < 0) {
       // None is left, it is gone already, or descriptors have run out: the next
@@ -328,11 +328,11 @@
   }
 }
 
-bool HttpServer::Sending() const
+bool HttpServer::HasUnsentAnswers() const
 {
   return std::any_of(
     mConnections.begin(), mConnections.end(), [](const auto& aEntry) {
-      return aEntry.second->Sending();
+      return aEntry.second->HasUnsentAnswers();
     });
 }
 
--- a/src/frontend/http_server.h
+++ b/src/frontend/http_server.h
@@ -26,7 +26,7 @@
   /// \brief A request is whole; it is answered by HttpServer::Respond().
   virtual void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) = 0;
   /// \brief The client left before its answer was sent.
-  virtual void OnGone(std::uint64_t aExchange) = 0;
+  virtual void OnClientDisconnected(std::uint64_t aExchange) = 0;
   /// \brief A request was refused before it was whole.
   virtual void OnMalformed(int aStatus, const std::string& aReason) = 0;
 };
@@ -58,7 +58,7 @@
   }
   /// \brief True while bytes of an answer wait to be sent, or a client has not
   /// yet taken the end of its connection.
-  [[nodiscard]] bool Sending() const;
+  [[nodiscard]] bool HasUnsentAnswers() const;
 
   void OnReadable() override;
   void OnWritable() override {}
@@ -85,6 +85,6 @@
 };
 
 /// \brief Numbers exchanges; unique over all servers of the process.
-[[nodiscard]] std::uint64_t NextExchange() noexcept;
+[[nodiscard]] std::uint64_t NextExchangeId() noexcept;
 
 } // namespace geraniumpond::frontend
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -27,11 +27,11 @@
 {
 public:
   void OnRequest(std::uint64_t, HttpRequest) override { ++mRequests; }
-  void OnGone(std::uint64_t) override { ++mGone; }
+  void OnClientDisconnected(std::uint64_t) override { ++mDisconnected; }
   void OnMalformed(int, const std::string&) override { ++mMalformed; }
 
   int mRequests = 0;
-  int mGone = 0;
+  int mDisconnected = 0;
   int mMalformed = 0;
 };
 
@@ -79,7 +79,8 @@
     SendRequests(1);
     Run(kRounds);
     CPPUNIT_ASSERT_EQUAL(1, mSink.mRequests);
-    mServer.Respond(NextExchange() - 1, MakeResponse(200, "text/plain", "ok"));
+    mServer.Respond(NextExchangeId() - 1,
+                    MakeResponse(200, "text/plain", "ok"));
     char bytes[256];
     const int count = mClients.front()->receiveBytes(bytes, sizeof(bytes));
     const std::string answer(bytes, static_cast<std::size_t>(count));
--- a/tests/soak/stand_ins.cpp
+++ b/tests/soak/stand_ins.cpp
@@ -107,7 +107,7 @@
     const int turns = 1 + static_cast<int>(mWaiting.size()) / kSlots;
     mWaiting.emplace(Now() + turns * kWork, std::make_pair(aExchange, id));
   }
-  void OnGone(std::uint64_t) override {}
+  void OnClientDisconnected(std::uint64_t) override {}
   void OnMalformed(int, const std::string& aReason) override
   {
     mAll.mLedger.Violation("malformed at " + mName + ": " + aReason);
