--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-void GatewayProcess::TakeCall(std::uint64_t aExchange,
-                              const HttpRequest& aRequest)
+void GatewayProcess::HandleCall(std::uint64_t aExchange,
+                                const HttpRequest& aRequest)
 {
   Call call = mDialect.mParseCall(aRequest);
   if (auto* announce = std::get_if<RegisterTargetCall>(&call)) {
@@ -25,22 +25,23 @@
   } else if (auto* put = std::get_if<PutPolicyCall>(&call)) {
     Post(gateway::PutPolicy{ aExchange, std::move(put->mDocument) });
   } else if (std::holds_alternative<ReadPolicyCall>(call)) {
-    TakeRead(aExchange, aRequest);
+    HandlePolicyRead(aExchange, aRequest);
   } else if (const auto* resolve = std::get_if<ResolveCall>(&call)) {
     const std::vector<std::string> addresses =
       gateway::AddressesFor(mState, resolve->mDataCentre, mNow);
-    AnswerCall(
+    RespondToCall(
       aExchange,
       addresses.empty()
         ? MakeResponse(503, "text/plain", "no host is ready\n")
         : mDialect.mMakeAddressResponse(addresses, mSettings.mAnswerKeep));
   } else if (std::holds_alternative<ReadinessCall>(call)) {
     const bool ready = gateway::IsReady(mState);
-    AnswerCall(aExchange,
-               MakeResponse(
-                 ready ? 200 : 503, "text/plain", ready ? "ready\n" : "not\n"));
+    RespondToCall(aExchange,
+                  MakeResponse(ready ? 200 : 503,
+                               "text/plain",
+                               ready ? "ready\n" : "not\n"));
   } else if (std::holds_alternative<ListQuarantineCall>(call)) {
-    AnswerCall(
+    RespondToCall(
       aExchange,
       MakeResponse(200,
                    "application/json",
@@ -48,7 +49,7 @@
   } else if (const auto* release = std::get_if<ReleaseRequestCall>(&call)) {
     Post(gateway::ReleaseRequest{ aExchange, release->mIdentity });
   } else if (std::holds_alternative<MetricsCall>(call)) {
-    AnswerCall(aExchange, MakeResponse(200, "text/plain", MetricsText()));
+    RespondToCall(aExchange, MakeResponse(200, "text/plain", MetricsText()));
   } else {
     const auto& invalid = std::get<InvalidCall>(call);
     ++mState.mDispatch.mCounters["calls_refused"];
@@ -56,28 +57,27 @@
       2,
       "event=call_refused status=" + std::to_string(invalid.mStatus) +
         " reason=\"" + invalid.mReason + "\"");
-    AnswerCall(
+    RespondToCall(
       aExchange,
       MakeResponse(invalid.mStatus, "text/plain", invalid.mReason + "\n"));
   }
 }
 
-void GatewayProcess::TakeRead(std::uint64_t aExchange,
-                              const HttpRequest& aRequest)
+void GatewayProcess::HandlePolicyRead(std::uint64_t aExchange,
+                                      const HttpRequest& aRequest)
 {
   const std::string* host = FindField(aRequest.mFields, "Host");
-  const bool namesPort =
-    host != nullptr && host->rfind(':') != std::string::npos;
-  if (namesPort) {
-    mReadUrls[aExchange] = { *host, aRequest.mTarget };
+  const bool hasPort = host != nullptr && host->rfind(':') != std::string::npos;
+  if (hasPort) {
+    mPolicyReadUrls[aExchange] = { *host, aRequest.mTarget };
   }
-  Post(gateway::ReadPolicy{ aExchange, namesPort });
+  Post(gateway::ReadPolicy{ aExchange, hasPort });
 }
 
 // All hosts take calls at the same ports: the other host's address is its IP
 // and the port that this call came to.
 HttpResponse GatewayProcess::RedirectTo(const std::string& aPeerAddress,
-                                        const ReadUrl& aUrl) const
+                                        const PolicyReadUrl& aUrl) const
 {
   const std::string location =
     "http://" + aPeerAddress.substr(0, aPeerAddress.rfind(':')) +
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -96,7 +96,7 @@
   const auto found = mExchanges.find(aEffect.mRequest);
   if (found != mExchanges.end() &&
       found->second.mAnsweredBy == aEffect.mAttempt) {
-    Answer(aEffect.mRequest, found->second.mAnswer);
+    RespondToClient(aEffect.mRequest, found->second.mAnswer);
   }
 }
 
@@ -108,7 +108,7 @@
     response.mFields.emplace_back("Retry-After",
                                   RetryAfterText(aEffect.mRetryAfter));
   }
-  Answer(aEffect.mRequest, response);
+  RespondToClient(aEffect.mRequest, response);
 }
 
 void GatewayProcess::PerformOne(dispatch::LogLine& aEffect)
@@ -118,14 +118,14 @@
 
 void GatewayProcess::PerformOne(gateway::AnswerOperation& aEffect)
 {
-  const auto url = mReadUrls.find(aEffect.mOperation);
+  const auto url = mPolicyReadUrls.find(aEffect.mOperation);
   const bool elsewhere = aEffect.mEnd == gateway::OperationEnd::Elsewhere;
-  AnswerCall(aEffect.mOperation,
-             elsewhere && url != mReadUrls.end()
-               ? RedirectTo(aEffect.mElsewhere, url->second)
-               : mDialect.mMakeOperationResponse(aEffect));
-  if (url != mReadUrls.end()) {
-    mReadUrls.erase(url);
+  RespondToCall(aEffect.mOperation,
+                elsewhere && url != mPolicyReadUrls.end()
+                  ? RedirectTo(aEffect.mElsewhere, url->second)
+                  : mDialect.mMakeOperationResponse(aEffect));
+  if (url != mPolicyReadUrls.end()) {
+    mPolicyReadUrls.erase(url);
   }
 }
 
@@ -153,8 +153,8 @@
   mExited = true;
 }
 
-void GatewayProcess::Answer(std::uint64_t aExchange,
-                            const HttpResponse& aResponse)
+void GatewayProcess::RespondToClient(std::uint64_t aExchange,
+                                     const HttpResponse& aResponse)
 {
   const auto found = mExchanges.find(aExchange);
   if (found == mExchanges.end()) {
@@ -167,8 +167,8 @@
   mExchanges.erase(aExchange);
 }
 
-void GatewayProcess::AnswerCall(std::uint64_t aExchange,
-                                const HttpResponse& aResponse)
+void GatewayProcess::RespondToCall(std::uint64_t aExchange,
+                                   const HttpResponse& aResponse)
 {
   for (const std::unique_ptr<HttpServer>& server : mCallServers) {
     server->Respond(aExchange, aResponse);
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -24,7 +24,7 @@
 constexpr Micros kLongestWait = 50 * kMillisecond;
 /// Messages of other hosts, those of consensus aside, that are taken before
 /// clients and consensus have their turn again.
-constexpr std::size_t kPeerMessagesAtOnce = 16;
+constexpr std::size_t kMaxPeerMessagesPerRound = 16;
 /// A loop that comes this late to its work has no processor to spare.
 constexpr Micros kLate = 20 * kMillisecond;
 /// Pace at which a late loop lets messages pass, and for how long at most: as
@@ -45,7 +45,7 @@
     .count();
 }
 
-Work WorkOf(const wire::FleetMessage& aMessage)
+Work WorkKindOf(const wire::FleetMessage& aMessage)
 {
   if (aMessage.has_consensus()) {
     return Work::Consensus;
@@ -56,7 +56,7 @@
   return aMessage.has_follow_reply() ? Work::Replies : Work::Commands;
 }
 
-std::uint64_t RandomWord()
+std::uint64_t RandomUint64()
 {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32) | device();
@@ -125,7 +125,7 @@
 
   void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) override
   {
-    mProcess.TakeCall(aExchange, aRequest);
+    mProcess.HandleCall(aExchange, aRequest);
   }
   // An operation runs to its end without its caller.
   void OnClientDisconnected(std::uint64_t) override {}
@@ -146,7 +146,7 @@
   : mSettings(aSettings)
   , mDialect(aDialect)
   , mClockOffset(WallNow() - SteadyNow())
-  , mRandom(RandomWord())
+  , mRandom(RandomUint64())
   , mTargets(mLoop, aDialect.mFieldNames, *this)
   , mCallerSink(std::make_unique<Callers>(*this))
   , mOperatorSink(std::make_unique<Operators>(*this))
@@ -208,7 +208,7 @@
   std::snprintf(storage,
                 sizeof(storage),
                 "disk-%016llx",
-                static_cast<unsigned long long>(RandomWord()));
+                static_cast<unsigned long long>(RandomUint64()));
   Result<OpenedDisk> disk = OpenDisk(mSettings.mDataFolder,
                                      mSettings.mFounding && isSeed,
                                      fleet::FoundingMembers(aFleet.mSeeds),
@@ -310,7 +310,7 @@
   Post(std::move(aEnd));
 }
 
-void GatewayProcess::TakeInbox()
+void GatewayProcess::ProcessInbox()
 {
   Inbox inbox;
   {
@@ -323,16 +323,16 @@
                                  : "event=disk_lost reason=\"" + error + "\"");
   }
   if (inbox.mSynced > 0) {
-    TakeSynced(inbox.mSynced);
+    HandleSynced(inbox.mSynced);
   }
   if (inbox.mUnreadable > 0) {
     edge::WriteLog(
       2, "event=message_unreadable count=" + std::to_string(inbox.mUnreadable));
   }
-  TakePeerMessages();
+  ProcessPeerMessages();
 }
 
-void GatewayProcess::TakeSynced(std::uint64_t aSequence)
+void GatewayProcess::HandleSynced(std::uint64_t aSequence)
 {
   while (!mUnsynced.empty() && mUnsynced.front().first <= aSequence) {
     mLoad.NoteWait(Wait::Disk, mNow - mUnsynced.front().second);
@@ -342,19 +342,19 @@
   mLoad.NoteWork(Work::Disk, 1);
 }
 
-void GatewayProcess::TakePeerMessages()
+void GatewayProcess::ProcessPeerMessages()
 {
   std::vector<wire::FleetMessage> messages;
   {
     const std::lock_guard<std::mutex> lock(mInboxMutex);
     mLoad.NoteWait(Wait::Inbox, mPeerInbox.LongestWait(mNow));
-    messages = mPeerInbox.Take(kPeerMessagesAtOnce);
+    messages = mPeerInbox.Take(kMaxPeerMessagesPerRound);
     if (!mPeerInbox.IsEmpty()) {
       mLoop.Wake();
     }
   }
   for (wire::FleetMessage& message : messages) {
-    const Work work = WorkOf(message);
+    const Work work = WorkKindOf(message);
     Post(gateway::PeerMessage{ std::move(message) });
     mLoad.NoteWork(work, 1);
   }
@@ -385,7 +385,7 @@
   mLoad.NoteWork(Work::Connections, handled);
   mNow = Now();
   LetMessagesPass(next);
-  TakeInbox();
+  ProcessInbox();
   if (mNow >= gateway::NextTick(mState) || mState.mStopping) {
     const bool sending = mState.mStopping && mCallerServer->HasUnsentAnswers();
     Post(gateway::TimePassed{ sending });
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -52,7 +52,7 @@
   };
 
   /// \brief Where a read of the policy was sent to.
-  struct ReadUrl
+  struct PolicyReadUrl
   {
     std::string mHost;
     std::string mTarget;
@@ -81,20 +81,20 @@
   [[nodiscard]] Result<consensus::Recovered> OpenStorage(
     const fleet::Settings& aFleet);
   [[nodiscard]] gateway::Settings ReducerSettings() const;
-  void TakeInbox();
-  void TakeSynced(std::uint64_t aSequence);
-  void TakePeerMessages();
+  void ProcessInbox();
+  void HandleSynced(std::uint64_t aSequence);
+  void ProcessPeerMessages();
   void LetMessagesPass(Micros aDue);
   void TickConnections();
-  void TakeCall(std::uint64_t aExchange, const HttpRequest& aRequest);
-  void TakeRead(std::uint64_t aExchange, const HttpRequest& aRequest);
+  void HandleCall(std::uint64_t aExchange, const HttpRequest& aRequest);
+  void HandlePolicyRead(std::uint64_t aExchange, const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse RedirectTo(const std::string& aPeerAddress,
-                                        const ReadUrl& aUrl) const;
-  void AnswerCall(std::uint64_t aExchange, const HttpResponse& aResponse);
+                                        const PolicyReadUrl& aUrl) const;
+  void RespondToCall(std::uint64_t aExchange, const HttpResponse& aResponse);
   [[nodiscard]] std::string MetricsText();
   [[nodiscard]] Micros Now() const;
   [[nodiscard]] std::uint64_t NextRandom();
-  void Answer(std::uint64_t aExchange, const HttpResponse& aResponse);
+  void RespondToClient(std::uint64_t aExchange, const HttpResponse& aResponse);
   void UpdateLimits();
 
   GatewaySettings mSettings;
@@ -118,7 +118,7 @@
   std::vector<std::unique_ptr<HttpServer>> mCallServers;
   std::unordered_map<std::uint64_t, Exchange> mExchanges;
   /// Of reads that have not ended.
-  std::unordered_map<std::uint64_t, ReadUrl> mReadUrls;
+  std::unordered_map<std::uint64_t, PolicyReadUrl> mPolicyReadUrls;
   std::uint64_t mPolicyVersion = 0;
 
   /// What other threads bring: messages of hosts, ends of writes.
