--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -26,11 +26,11 @@
 /// clients and consensus have their turn again.
 constexpr std::size_t kMaxPeerMessagesPerRound = 16;
 /// A loop that comes this late to its work has no processor to spare.
-constexpr Micros kLate = 20 * kMillisecond;
+constexpr Micros kLateThreshold = 20 * kMillisecond;
 /// Pace at which a late loop lets messages pass, and for how long at most: as
 /// long as it works itself.
-constexpr Micros kPassPause = 40 * kMillisecond;
-constexpr Micros kPassPatience = 40 * kMillisecond;
+constexpr Micros kYieldInterval = 40 * kMillisecond;
+constexpr Micros kMaxYield = 40 * kMillisecond;
 constexpr double kBytesPerMegabit = 125000;
 
 Micros SteadyNow()
@@ -364,17 +364,17 @@
 // that carries messages between hosts: a heartbeat that waits there is a lost
 // leader. So a loop that is late waits for that thread, for a bounded share of
 // the time.
-void GatewayProcess::LetMessagesPass(Micros aDue)
+void GatewayProcess::YieldToMessageThread(Micros aDueAt)
 {
-  const Micros late = std::max<Micros>(0, mNow - aDue);
-  const Micros unsent = mPeers->TakeLongestWait().count();
-  mLoad.NoteWait(Wait::Loop, late);
-  mLoad.NoteWait(Wait::Outbox, unsent);
-  const bool busy = std::max(late, unsent) > kLate;
-  if (busy && mNow >= mPassedAt + kPassPause) {
-    (void)mPeers->WaitForTurn(std::chrono::microseconds(kPassPatience));
+  const Micros lateness = std::max<Micros>(0, mNow - aDueAt);
+  const Micros sendDelay = mPeers->TakeLongestWait().count();
+  mLoad.NoteWait(Wait::Loop, lateness);
+  mLoad.NoteWait(Wait::Outbox, sendDelay);
+  const bool busy = std::max(lateness, sendDelay) > kLateThreshold;
+  if (busy && mNow >= mYieldedAt + kYieldInterval) {
+    (void)mPeers->WaitForTurn(std::chrono::microseconds(kMaxYield));
     mNow = Now();
-    mPassedAt = mNow;
+    mYieldedAt = mNow;
   }
 }
 
@@ -384,7 +384,7 @@
   const std::size_t handled = mLoop.RunOnce(Now(), next);
   mLoad.NoteWork(Work::Connections, handled);
   mNow = Now();
-  LetMessagesPass(next);
+  YieldToMessageThread(next);
   ProcessInbox();
   if (mNow >= gateway::NextTick(mState) || mState.mStopping) {
     const bool sending = mState.mStopping && mCallerServer->HasUnsentAnswers();
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -84,7 +84,7 @@
   void ProcessInbox();
   void HandleSynced(std::uint64_t aSequence);
   void ProcessPeerMessages();
-  void LetMessagesPass(Micros aDue);
+  void YieldToMessageThread(Micros aDueAt);
   void TickConnections();
   void HandleCall(std::uint64_t aExchange, const HttpRequest& aRequest);
   void HandlePolicyRead(std::uint64_t aExchange, const HttpRequest& aRequest);
@@ -134,7 +134,7 @@
   std::unique_ptr<DiskWriter> mDisk;
   std::unique_ptr<edge::Peers> mPeers;
   /// When the thread of messages was last waited for.
-  Micros mPassedAt = 0;
+  Micros mYieldedAt = 0;
 };
 
 template<class Body>
