--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -104,7 +104,7 @@
   gauges["catalog_index"] = static_cast<double>(mState.mFleet.mApplied);
   gauges["target_connections"] = static_cast<double>(mTargets.Connections());
   gauges["client_connections"] =
-    static_cast<double>(mCallerServer->Connections());
+    static_cast<double>(mClientServer->Connections());
   const fleet::State& fleet = mState.mFleet;
   const fleet::Traffic& traffic = fleet.mTraffic;
   gauges["followers"] = static_cast<double>(fleet.mFollowers.size());
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -163,7 +163,7 @@
   mMetrics.Observe("request",
                    std::to_string(aResponse.mStatus),
                    mNow - found->second.mArrivedAt);
-  mCallerServer->Respond(aExchange, aResponse);
+  mClientServer->Respond(aExchange, aResponse);
   mExchanges.erase(aExchange);
 }
 
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -65,10 +65,10 @@
 } // namespace
 
 /// \brief Clients' requests become arrivals.
-class GatewayProcess::Callers : public RequestSink
+class GatewayProcess::ClientSink : public RequestSink
 {
 public:
-  explicit Callers(GatewayProcess& aProcess)
+  explicit ClientSink(GatewayProcess& aProcess)
     : mProcess(aProcess)
   {
   }
@@ -115,10 +115,10 @@
 };
 
 /// \brief Calls of targets, operators and directory clients.
-class GatewayProcess::Operators : public RequestSink
+class GatewayProcess::CallSink : public RequestSink
 {
 public:
-  explicit Operators(GatewayProcess& aProcess)
+  explicit CallSink(GatewayProcess& aProcess)
     : mProcess(aProcess)
   {
   }
@@ -148,8 +148,8 @@
   , mClockOffset(WallNow() - SteadyNow())
   , mRandom(RandomUint64())
   , mTargets(mLoop, aDialect.mFieldNames, *this)
-  , mCallerSink(std::make_unique<Callers>(*this))
-  , mOperatorSink(std::make_unique<Operators>(*this))
+  , mClientSink(std::make_unique<ClientSink>(*this))
+  , mCallSink(std::make_unique<CallSink>(*this))
 {
   mNow = Now();
 }
@@ -253,13 +253,13 @@
       mInbox.mUnreadable += mPeerInbox.Put(aBytes, Now()) ? 0 : 1;
       mLoop.Wake();
     });
-  mCallerServer =
-    std::make_unique<HttpServer>(mLoop, mSettings.mCallerAddress, *mCallerSink);
+  mClientServer =
+    std::make_unique<HttpServer>(mLoop, mSettings.mCallerAddress, *mClientSink);
   std::vector<std::string> addresses = mSettings.mCallAddresses;
   addresses.push_back(mSettings.mMetricsAddress);
   for (const std::string& address : addresses) {
     mCallServers.push_back(
-      std::make_unique<HttpServer>(mLoop, address, *mOperatorSink));
+      std::make_unique<HttpServer>(mLoop, address, *mCallSink));
   }
   mNow = Now();
   TickConnections();
@@ -274,7 +274,7 @@
 void GatewayProcess::RequestStop()
 {
   Post(gateway::StopRequested{});
-  mCallerServer->BeginStop();
+  mClientServer->BeginStop();
 }
 
 void GatewayProcess::Perform(gateway::Effects aEffects)
@@ -288,9 +288,9 @@
 void GatewayProcess::UpdateLimits()
 {
   const auto& policy = mState.mDispatch.mPolicy;
-  if (policy && policy->mVersion != mPolicyVersion && mCallerServer) {
+  if (policy && policy->mVersion != mPolicyVersion && mClientServer) {
     mPolicyVersion = policy->mVersion;
-    mCallerServer->SetLimits(policy->mLimits);
+    mClientServer->SetLimits(policy->mLimits);
   }
 }
 
@@ -387,7 +387,7 @@
   YieldToMessageThread(next);
   ProcessInbox();
   if (mNow >= gateway::NextTick(mState) || mState.mStopping) {
-    const bool sending = mState.mStopping && mCallerServer->HasUnsentAnswers();
+    const bool sending = mState.mStopping && mClientServer->HasUnsentAnswers();
     Post(gateway::TimePassed{ sending });
   }
   TickConnections();
@@ -403,7 +403,7 @@
 void GatewayProcess::TickConnections()
 {
   mTargets.Tick(mNow);
-  mCallerServer->Tick(mNow);
+  mClientServer->Tick(mNow);
   for (const std::unique_ptr<HttpServer>& server : mCallServers) {
     server->Tick(mNow);
   }
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -58,8 +58,8 @@
     std::string mTarget;
   };
 
-  class Callers;
-  class Operators;
+  class ClientSink;
+  class CallSink;
 
   void OnProbe(const dispatch::ProbeEnd& aEnd) override;
   void OnAttempt(dispatch::AttemptEnd aEnd, HttpResponse aResponse) override;
@@ -112,9 +112,9 @@
   LoadWatch mLoad{ mMetrics };
   /// Writes that are not known to be on disk, by sequence, and since when.
   std::deque<std::pair<std::uint64_t, Micros>> mUnsynced;
-  std::unique_ptr<Callers> mCallerSink;
-  std::unique_ptr<Operators> mOperatorSink;
-  std::unique_ptr<HttpServer> mCallerServer;
+  std::unique_ptr<ClientSink> mClientSink;
+  std::unique_ptr<CallSink> mCallSink;
+  std::unique_ptr<HttpServer> mClientServer;
   std::vector<std::unique_ptr<HttpServer>> mCallServers;
   std::unordered_map<std::uint64_t, Exchange> mExchanges;
   /// Of reads that have not ended.
