--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -71,19 +71,19 @@
   const HttpRequest& request = found->second.mRequest;
   const std::string* id =
     FindField(request.mFields, mDialect.mFieldNames.mRequestId);
-  Shipment shipment;
-  shipment.mRequest = aEffect.mRequest;
-  shipment.mAttempt = aEffect.mAttempt;
-  shipment.mTarget = aEffect.mTarget;
-  shipment.mAddress = aEffect.mAddress;
-  shipment.mBytes = RequestBytes(request,
+  OutboundRequest outbound;
+  outbound.mRequest = aEffect.mRequest;
+  outbound.mAttempt = aEffect.mAttempt;
+  outbound.mTarget = aEffect.mTarget;
+  outbound.mAddress = aEffect.mAddress;
+  outbound.mBytes = RequestBytes(request,
                                  mDialect.mFieldNames,
                                  aEffect.mTargetName,
                                  aEffect.mDeadline - mNow - kAnswerTrip);
-  shipment.mRequestId = id == nullptr ? "" : *id;
-  shipment.mHeadOnly = request.mMethod == "HEAD";
-  shipment.mProvenConnection = aEffect.mProvenConnection;
-  mTargets.Send(std::move(shipment));
+  outbound.mRequestId = id == nullptr ? "" : *id;
+  outbound.mHeadOnly = request.mMethod == "HEAD";
+  outbound.mProvenConnection = aEffect.mProvenConnection;
+  mTargets.Send(std::move(outbound));
 }
 
 void GatewayProcess::PerformOne(dispatch::CancelAttempt& aEffect)
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -118,15 +118,15 @@
     Start("GET " + aPath + " HTTP/1.1\r\nHost: " + mAddress + "\r\n\r\n");
   }
 
-  void StartAttempt(Shipment aShipment)
+  void StartAttempt(OutboundRequest aRequest)
   {
     mJob = Job::Attempt;
-    mRequest = aShipment.mRequest;
-    mAttempt = aShipment.mAttempt;
-    mRequestId = std::move(aShipment.mRequestId);
-    mHeadOnly = aShipment.mHeadOnly;
+    mRequest = aRequest.mRequest;
+    mAttempt = aRequest.mAttempt;
+    mRequestId = std::move(aRequest.mRequestId);
+    mHeadOnly = aRequest.mHeadOnly;
     mPool.mAttempts[mAttempt] = this;
-    Start(std::move(aShipment.mBytes));
+    Start(std::move(aRequest.mBytes));
   }
 
   void OnWritable() override
@@ -457,16 +457,16 @@
   connection->StartProbe(aProbe.mPath);
 }
 
-void TargetPool::Send(Shipment aShipment)
+void TargetPool::Send(OutboundRequest aRequest)
 {
-  const Micros age = aShipment.mProvenConnection
+  const Micros age = aRequest.mProvenConnection
                        ? kProvenAge
                        : std::numeric_limits<Micros>::max();
-  Connection* connection = TakeIdle(aShipment.mTarget, age);
+  Connection* connection = TakeIdle(aRequest.mTarget, age);
   if (connection == nullptr) {
-    connection = Open(aShipment.mTarget, aShipment.mAddress);
+    connection = Open(aRequest.mTarget, aRequest.mAddress);
   }
-  connection->StartAttempt(std::move(aShipment));
+  connection->StartAttempt(std::move(aRequest));
 }
 
 void TargetPool::Cancel(std::uint64_t aAttempt)
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -30,7 +30,7 @@
 };
 
 /// \brief One request for one target, ready to be sent.
-struct Shipment
+struct OutboundRequest
 {
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
@@ -52,7 +52,7 @@
   TargetPool& operator=(const TargetPool&) = delete;
 
   void Probe(const dispatch::ProbeTarget& aProbe);
-  void Send(Shipment aShipment);
+  void Send(OutboundRequest aRequest);
   /// \brief Closes an attempt's connection; nothing is reported of it.
   void Cancel(std::uint64_t aAttempt);
 
