--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -20,23 +20,23 @@
 
 /// A connect takes a trip or two; a lost opening packet costs a second, so
 /// that another target is tried before.
-constexpr Micros kConnectPatience = 300 * kMillisecond;
+constexpr Micros kConnectTimeout = 300 * kMillisecond;
 /// A target that leaves a probe unanswered for this long is taken for silent:
 /// well over any trip, well under the shortest deadline.
-constexpr Micros kProbePatience = 400 * kMillisecond;
+constexpr Micros kProbeTimeout = 400 * kMillisecond;
 /// A connection on which an answer came this lately is alive.
-constexpr Micros kProvenAge = 100 * kMillisecond;
+constexpr Micros kProvenMaxAge = 100 * kMillisecond;
 /// Idle connections are used up to this share of the time that their target
 /// keeps them, or for this long where it does not say.
-constexpr double kIdleShare = 0.8;
-constexpr Micros kIdleUnsaid = 3 * kSecond;
-constexpr std::size_t kIdlePerTarget = 4;
+constexpr double kIdleTimeoutFraction = 0.8;
+constexpr Micros kDefaultIdleTimeout = 3 * kSecond;
+constexpr std::size_t kMaxIdlePerTarget = 4;
 constexpr Micros kSweepInterval = 50 * kMillisecond;
 /// Bytes that are not acknowledged within this time end a connection.
 constexpr int kUserTimeoutMs = 2000;
-constexpr int kHealthy = 200;
-constexpr int kMisdirected = 421;
-constexpr int kNotSuccess = 300;
+constexpr int kStatusOk = 200;
+constexpr int kStatusMisdirected = 421;
+constexpr int kFirstNonSuccessStatus = 300;
 
 } // namespace
 
@@ -49,12 +49,12 @@
   }
   dispatch::Report report;
   int percent = 100;
-  const bool sound =
+  const bool valid =
     Poco::NumberParser::tryParse(parts[0], report.mRunning) &&
     Poco::NumberParser::tryParse(parts[1], report.mWaiting) &&
     Poco::NumberParser::tryParse(parts[2], report.mSlots) &&
     (parts.count() < 4 || Poco::NumberParser::tryParse(parts[3], percent));
-  if (!sound || report.mRunning < 0 || report.mWaiting < 0 ||
+  if (!valid || report.mRunning < 0 || report.mWaiting < 0 ||
       report.mSlots < 1 || percent < 1) {
     return std::nullopt;
   }
@@ -62,8 +62,8 @@
   return report;
 }
 
-dispatch::LimitWord ReadLimit(const HeaderFields& aFields,
-                              const std::string& aName)
+dispatch::LimitWord ParseLimit(const HeaderFields& aFields,
+                               const std::string& aName)
 {
   using Kind = dispatch::LimitWord::Kind;
   const std::string* value = FindField(aFields, aName);
@@ -78,9 +78,9 @@
     std::count_if(aFields.begin(), aFields.end(), [&](const auto& aField) {
       return EqualIgnoringCase(aField.first, aName);
     });
-  const bool sound = named == 1 && read.ec == std::errc() && read.ptr == end &&
+  const bool valid = named == 1 && read.ec == std::errc() && read.ptr == end &&
                      std::isfinite(perSecond) && perSecond >= 0;
-  return sound ? dispatch::LimitWord{ Kind::Named, perSecond }
+  return valid ? dispatch::LimitWord{ Kind::Named, perSecond }
                : dispatch::LimitWord{ Kind::Unreadable, 0 };
 }
 
@@ -138,7 +138,7 @@
         return;
       }
       mConnecting = false;
-      SendFirst(std::move(mUnsent));
+      SendRequestBytes(std::move(mPendingBytes));
       return;
     }
     if (!mSocket.Flush()) {
@@ -162,7 +162,7 @@
       }
       return;
     }
-    if (Read()) {
+    if (ReadAnswers()) {
       return;
     }
     if (received == ReceiveResult::End) {
@@ -179,15 +179,15 @@
   /// \brief Ends what takes too long.
   void Sweep(Micros aNow)
   {
-    if (mConnecting && aNow - mStartedAt > kConnectPatience) {
+    if (mConnecting && aNow - mStartedAt > kConnectTimeout) {
       Fail("connect_timeout");
       return;
     }
-    if (mJob == Job::Probe && aNow - mStartedAt > kProbePatience) {
+    if (mJob == Job::Probe && aNow - mStartedAt > kProbeTimeout) {
       Fail("probe_timeout");
       return;
     }
-    if (mJob == Job::None && aNow - mUsedAt > mIdleLimit) {
+    if (mJob == Job::None && aNow - mLastUsedAt > mIdleTimeout) {
       End();
     }
   }
@@ -205,33 +205,33 @@
   [[nodiscard]] std::uint64_t Id() const noexcept { return mId; }
   [[nodiscard]] std::uint64_t Attempt() const noexcept { return mAttempt; }
   [[nodiscard]] const std::string& Target() const noexcept { return mTarget; }
-  [[nodiscard]] Micros UsedAt() const noexcept { return mUsedAt; }
-  [[nodiscard]] Micros IdleLimit() const noexcept { return mIdleLimit; }
+  [[nodiscard]] Micros LastUsedAt() const noexcept { return mLastUsedAt; }
+  [[nodiscard]] Micros IdleTimeout() const noexcept { return mIdleTimeout; }
 
 private:
   void Start(std::string aBytes)
   {
     mStartedAt = mPool.mNow;
     if (mConnecting) {
-      mUnsent = std::move(aBytes);
+      mPendingBytes = std::move(aBytes);
       return;
     }
-    mReused = true;
-    SendFirst(std::move(aBytes));
+    mIsReused = true;
+    SendRequestBytes(std::move(aBytes));
   }
 
-  void SendFirst(std::string aBytes)
+  void SendRequestBytes(std::string aBytes)
   {
     const std::size_t size = aBytes.size();
-    const bool sound = mSocket.Send(std::move(aBytes));
+    const bool valid = mSocket.Send(std::move(aBytes));
     mSent = mSocket.Unsent() < size;
-    if (!sound) {
+    if (!valid) {
       Fail("send_failed");
     }
   }
 
   // True when the exchange has ended.
-  bool Read()
+  bool ReadAnswers()
   {
     while (true) {
       const ReadStatus status = mReader.Read(mSocket.Input(), mHeadOnly);
@@ -250,7 +250,7 @@
 
   // An answer that names another request arrived late: it belongs to nobody
   // here. A connection that has carried one is not used again.
-  bool IsStray(const HttpResponse& aResponse) const
+  bool AnswersAnotherRequest(const HttpResponse& aResponse) const
   {
     const std::string* id =
       FindField(aResponse.mFields, mPool.mNames.mRequestId);
@@ -261,9 +261,9 @@
   }
 
   // A head that was cut off may look like a short answer; an answer to this
-  // request names it, and a success is vouched for. A refusal may come from a
+  // request names it, and a success is isSigned for. A refusal may come from a
   // target that has not read the request's fields.
-  bool IsSound(const HttpResponse& aResponse) const
+  bool IsCompleteAnswer(const HttpResponse& aResponse) const
   {
     if (mJob == Job::Probe) {
       return true;
@@ -273,38 +273,39 @@
     const bool named = mRequestId.empty() ||
                        FindField(fields, names.mRequestId) != nullptr ||
                        FindField(fields, names.mNotRun) != nullptr ||
-                       aResponse.mStatus == kMisdirected;
-    const bool vouched = aResponse.mStatus >= kNotSuccess ||
-                         names.mSignature.empty() ||
-                         FindField(fields, names.mSignature) != nullptr;
-    return named && vouched;
+                       aResponse.mStatus == kStatusMisdirected;
+    const bool isSigned = aResponse.mStatus >= kFirstNonSuccessStatus ||
+                          names.mSignature.empty() ||
+                          FindField(fields, names.mSignature) != nullptr;
+    return named && isSigned;
   }
 
   // False when the answer was not the one waited for.
   bool Finish()
   {
     HttpResponse response = mReader.Take();
-    if (IsStray(response)) {
-      mTainted = true;
+    if (AnswersAnotherRequest(response)) {
+      mReceivedStray = true;
       return false;
     }
-    if (!IsSound(response)) {
+    if (!IsCompleteAnswer(response)) {
       Fail("not_an_answer");
       return true;
     }
-    const bool reusable = response.mKeepAlive && !mTainted &&
+    const bool reusable = response.mKeepAlive && !mReceivedStray &&
                           mSocket.Input().empty() && mSocket.Unsent() == 0;
     if (response.mKeepAliveSeconds > 0) {
-      mIdleLimit = static_cast<Micros>(
-        kIdleShare * static_cast<double>(response.mKeepAliveSeconds) * kSecond);
+      mIdleTimeout = static_cast<Micros>(
+        kIdleTimeoutFraction * static_cast<double>(response.mKeepAliveSeconds) *
+        kSecond);
     }
-    mUsedAt = mPool.mNow;
+    mLastUsedAt = mPool.mNow;
     const Job job = std::exchange(mJob, Job::None);
     if (job == Job::Attempt) {
       mPool.mAttempts.erase(mAttempt);
     }
     if (reusable) {
-      mPool.Keep(*this);
+      mPool.ReturnToIdle(*this);
     } else {
       End();
     }
@@ -316,7 +317,8 @@
   {
     const FieldNames& names = mPool.mNames;
     const std::string* load = FindField(aResponse.mFields, names.mLoad);
-    const std::string* by = FindField(aResponse.mFields, names.mTargetId);
+    const std::string* answeredBy =
+      FindField(aResponse.mFields, names.mTargetId);
     std::optional<dispatch::Report> report;
     if (load != nullptr) {
       report = ParseLoad(*load);
@@ -325,10 +327,10 @@
       dispatch::ProbeEnd end;
       end.mTarget = mTarget;
       end.mAnswered = true;
-      end.mHealthy = aResponse.mStatus == kHealthy;
-      end.mAnsweredBy = by == nullptr ? "" : *by;
+      end.mHealthy = aResponse.mStatus == kStatusOk;
+      end.mAnsweredBy = answeredBy == nullptr ? "" : *answeredBy;
       end.mReport = report;
-      end.mLimit = ReadLimit(aResponse.mFields, names.mLimit);
+      end.mLimit = ParseLimit(aResponse.mFields, names.mLimit);
       mPool.mSink.OnProbe(end);
       return;
     }
@@ -337,12 +339,12 @@
     end.mAttempt = mAttempt;
     end.mKind = dispatch::EndKind::Answered;
     end.mStatus = aResponse.mStatus;
-    end.mMisdirected = aResponse.mStatus == kMisdirected;
+    end.mMisdirected = aResponse.mStatus == kStatusMisdirected;
     end.mNotRun = end.mMisdirected ||
                   FindField(aResponse.mFields, names.mNotRun) != nullptr;
     end.mBytes = aResponse.mBody.size();
     end.mReport = report;
-    end.mLimit = ReadLimit(aResponse.mFields, names.mLimit);
+    end.mLimit = ParseLimit(aResponse.mFields, names.mLimit);
     if (end.mNotRun) {
       end.mReason = end.mMisdirected ? "address_taken" : "target_refused";
     }
@@ -359,7 +361,7 @@
     End();
     if (job == Job::Probe) {
       // An idle connection that had ended says nothing of its target.
-      if (mReused) {
+      if (mIsReused) {
         mPool.Open(mTarget, mAddress)->StartProbe(mProbePath);
         return;
       }
@@ -385,19 +387,19 @@
   BufferedSocket mSocket;
   ResponseReader mReader;
   Job mJob = Job::None;
-  std::string mUnsent;
+  std::string mPendingBytes;
   std::string mProbePath;
   std::string mRequestId;
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
   Micros mStartedAt = 0;
-  Micros mUsedAt = 0;
-  Micros mIdleLimit = kIdleUnsaid;
+  Micros mLastUsedAt = 0;
+  Micros mIdleTimeout = kDefaultIdleTimeout;
   bool mConnecting = true;
   bool mSent = false;
-  bool mReused = false;
+  bool mIsReused = false;
   bool mHeadOnly = false;
-  bool mTainted = false;
+  bool mReceivedStray = false;
 };
 
 TargetPool::TargetPool(EventLoop& aLoop,
@@ -439,8 +441,8 @@
   }
   // The one that was used last is the likeliest to be alive.
   Connection* connection = found->second.back();
-  const Micros age = mNow - connection->UsedAt();
-  if (age > std::min(aMaxAge, connection->IdleLimit())) {
+  const Micros age = mNow - connection->LastUsedAt();
+  if (age > std::min(aMaxAge, connection->IdleTimeout())) {
     return nullptr;
   }
   found->second.pop_back();
@@ -460,7 +462,7 @@
 void TargetPool::Send(OutboundRequest aRequest)
 {
   const Micros age = aRequest.mProvenConnection
-                       ? kProvenAge
+                       ? kProvenMaxAge
                        : std::numeric_limits<Micros>::max();
   Connection* connection = TakeIdle(aRequest.mTarget, age);
   if (connection == nullptr) {
@@ -479,10 +481,10 @@
   }
 }
 
-void TargetPool::Keep(Connection& aConnection)
+void TargetPool::ReturnToIdle(Connection& aConnection)
 {
   std::vector<Connection*>& idle = mIdle[aConnection.Target()];
-  if (idle.size() >= kIdlePerTarget) {
+  if (idle.size() >= kMaxIdlePerTarget) {
     idle.front()->End();
   }
   mIdle[aConnection.Target()].push_back(&aConnection);
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -72,7 +72,7 @@
   [[nodiscard]] Connection* TakeIdle(const std::string& aTarget,
                                      Micros aMaxAge);
   Connection* Open(const std::string& aTarget, const std::string& aAddress);
-  void Keep(Connection& aConnection);
+  void ReturnToIdle(Connection& aConnection);
   void Retire(Connection& aConnection);
 
   EventLoop& mLoop;
@@ -89,8 +89,8 @@
 
 /// \brief What an answer's fields say of its target's limit; more than one such
 /// field, and what is no number from zero up, is unreadable.
-[[nodiscard]] dispatch::LimitWord ReadLimit(const HeaderFields& aFields,
-                                            const std::string& aName);
+[[nodiscard]] dispatch::LimitWord ParseLimit(const HeaderFields& aFields,
+                                             const std::string& aName);
 
 /// \brief Load as written in an answer; nothing when it is not sound.
 [[nodiscard]] std::optional<dispatch::Report> ParseLoad(
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -195,7 +195,7 @@
   {
     using Kind = dispatch::LimitWord::Kind;
     const auto read = [](const HeaderFields& aFields) {
-      return ReadLimit(aFields, "Target-Limit");
+      return ParseLimit(aFields, "Target-Limit");
     };
     CPPUNIT_ASSERT(read({ { "Other", "1" } }).mKind == Kind::Silent);
     for (const std::string text : { "3.4", " 3.4", "3.40", "34e-1" }) {
