--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -45,15 +45,15 @@
     .count();
 }
 
-Work WorkKindOf(const wire::FleetMessage& aMessage)
+WorkKind WorkKindOf(const wire::FleetMessage& aMessage)
 {
   if (aMessage.has_consensus()) {
-    return Work::Consensus;
+    return WorkKind::Consensus;
   }
   if (aMessage.has_follow()) {
-    return Work::Reports;
+    return WorkKind::Reports;
   }
-  return aMessage.has_follow_reply() ? Work::Replies : Work::Commands;
+  return aMessage.has_follow_reply() ? WorkKind::Replies : WorkKind::Commands;
 }
 
 std::uint64_t RandomUint64()
@@ -335,11 +335,11 @@
 void GatewayProcess::HandleSynced(std::uint64_t aSequence)
 {
   while (!mUnsynced.empty() && mUnsynced.front().first <= aSequence) {
-    mLoad.NoteWait(Wait::Disk, mNow - mUnsynced.front().second);
+    mLoadMonitor.RecordWait(WaitKind::Disk, mNow - mUnsynced.front().second);
     mUnsynced.pop_front();
   }
   Post(gateway::DiskSynced{ aSequence });
-  mLoad.NoteWork(Work::Disk, 1);
+  mLoadMonitor.RecordWork(WorkKind::Disk, 1);
 }
 
 void GatewayProcess::ProcessPeerMessages()
@@ -347,16 +347,16 @@
   std::vector<wire::FleetMessage> messages;
   {
     const std::lock_guard<std::mutex> lock(mInboxMutex);
-    mLoad.NoteWait(Wait::Inbox, mPeerInbox.LongestWait(mNow));
+    mLoadMonitor.RecordWait(WaitKind::Inbox, mPeerInbox.LongestWait(mNow));
     messages = mPeerInbox.Take(kMaxPeerMessagesPerRound);
     if (!mPeerInbox.IsEmpty()) {
       mLoop.Wake();
     }
   }
   for (wire::FleetMessage& message : messages) {
-    const Work work = WorkKindOf(message);
+    const WorkKind work = WorkKindOf(message);
     Post(gateway::PeerMessage{ std::move(message) });
-    mLoad.NoteWork(work, 1);
+    mLoadMonitor.RecordWork(work, 1);
   }
 }
 
@@ -368,8 +368,8 @@
 {
   const Micros lateness = std::max<Micros>(0, mNow - aDueAt);
   const Micros sendDelay = mPeers->TakeLongestWait().count();
-  mLoad.NoteWait(Wait::Loop, lateness);
-  mLoad.NoteWait(Wait::Outbox, sendDelay);
+  mLoadMonitor.RecordWait(WaitKind::Loop, lateness);
+  mLoadMonitor.RecordWait(WaitKind::Outbox, sendDelay);
   const bool busy = std::max(lateness, sendDelay) > kLateThreshold;
   if (busy && mNow >= mYieldedAt + kYieldInterval) {
     (void)mPeers->WaitForTurn(std::chrono::microseconds(kMaxYield));
@@ -382,7 +382,7 @@
 {
   const Micros next = std::min(gateway::NextTick(mState), mNow + kLongestWait);
   const std::size_t handled = mLoop.RunOnce(Now(), next);
-  mLoad.NoteWork(Work::Connections, handled);
+  mLoadMonitor.RecordWork(WorkKind::Connections, handled);
   mNow = Now();
   YieldToMessageThread(next);
   ProcessInbox();
@@ -391,9 +391,9 @@
     Post(gateway::TimePassed{ sending });
   }
   TickConnections();
-  mLoad.NoteWork(Work::Time, 1);
-  mLoad.EndRound();
-  if (const std::optional<std::string> line = mLoad.TakeLine(mNow)) {
+  mLoadMonitor.RecordWork(WorkKind::Time, 1);
+  mLoadMonitor.EndIteration();
+  if (const std::optional<std::string> line = mLoadMonitor.TakeLogLine(mNow)) {
     edge::WriteLog(2, *line);
   }
   return !mExited;
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -109,7 +109,7 @@
   bool mOpened = false;
   TargetPool mTargets;
   Metrics mMetrics;
-  LoadWatch mLoad{ mMetrics };
+  LoadMonitor mLoadMonitor{ mMetrics };
   /// Writes that are not known to be on disk, by sequence, and since when.
   std::deque<std::pair<std::uint64_t, Micros>> mUnsynced;
   std::unique_ptr<ClientSink> mClientSink;
--- a/src/frontend/load_watch.cpp
+++ b/src/frontend/load_watch.cpp
@@ -35,17 +35,17 @@
 
 } // namespace
 
-const char* ToString(Wait aWait) noexcept
+const char* ToString(WaitKind aWait) noexcept
 {
   return kWaitNames[static_cast<std::size_t>(aWait)];
 }
 
-const char* ToString(Work aWork) noexcept
+const char* ToString(WorkKind aWork) noexcept
 {
   return kWorkNames[static_cast<std::size_t>(aWork)];
 }
 
-LoadWatch::LoadWatch(Metrics& aMetrics)
+LoadMonitor::LoadMonitor(Metrics& aMetrics)
   : mProcessorTime(ThreadTime())
 {
   for (std::size_t i = 0; i < kWaits; ++i) {
@@ -53,7 +53,7 @@
   }
 }
 
-void LoadWatch::NoteWait(Wait aWait, Micros aTime)
+void LoadMonitor::RecordWait(WaitKind aWait, Micros aTime)
 {
   Metrics::Observe(*mSeries[static_cast<std::size_t>(aWait)], aTime);
   mLongestOfRound = std::max(mLongestOfRound, aTime);
@@ -61,7 +61,7 @@
   longest = std::max(longest, aTime);
 }
 
-void LoadWatch::NoteWork(Work aWork, std::uint64_t aItems)
+void LoadMonitor::RecordWork(WorkKind aWork, std::uint64_t aItems)
 {
   Done& done = mDone[static_cast<std::size_t>(aWork)];
   done.mItems += aItems;
@@ -74,7 +74,7 @@
 
 // To read the processor's clock is a system call, which many small messages
 // would pay for each; so it is read while the process is late.
-void LoadWatch::EndRound()
+void LoadMonitor::EndIteration()
 {
   const bool late = mLongestOfRound >= kTimedFrom;
   if (late && !mTimesWork) {
@@ -84,7 +84,7 @@
   mLongestOfRound = 0;
 }
 
-std::optional<std::string> LoadWatch::TakeLine(Micros aNow)
+std::optional<std::string> LoadMonitor::TakeLogLine(Micros aNow)
 {
   const Micros longest = *std::max_element(mLongest.begin(), mLongest.end());
   if (longest < kLate || aNow < mLineAt + kLinePause) {
@@ -109,7 +109,7 @@
   return line;
 }
 
-void LoadWatch::Count(dispatch::Counters& aCounters) const
+void LoadMonitor::Count(dispatch::Counters& aCounters) const
 {
   for (std::size_t i = 0; i < kWorks; ++i) {
     const std::string name = std::string("work_") + kWorkNames[i];
--- a/src/frontend/load_watch.h
+++ b/src/frontend/load_watch.h
@@ -14,7 +14,7 @@
 namespace geraniumpond::frontend {
 
 /// \brief What something of a process waits for before it is taken.
-enum class Wait
+enum class WaitKind
 {
   /// The reducer's next time, and descriptors that are ready.
   Loop,
@@ -27,7 +27,7 @@
 };
 
 /// \brief What the loop's thread is busy with.
-enum class Work
+enum class WorkKind
 {
   Connections,
   Consensus,
@@ -39,36 +39,36 @@
 };
 
 /// \brief Lower-case names.
-[[nodiscard]] const char* ToString(Wait aWait) noexcept;
-[[nodiscard]] const char* ToString(Work aWork) noexcept;
+[[nodiscard]] const char* ToString(WaitKind aWait) noexcept;
+[[nodiscard]] const char* ToString(WorkKind aWork) noexcept;
 
 /// \brief How late a process is, and what its loop spends processor time on.
-class LoadWatch
+class LoadMonitor
 {
 public:
-  explicit LoadWatch(Metrics& aMetrics);
+  explicit LoadMonitor(Metrics& aMetrics);
 
   /// \brief Something was taken after it had waited.
-  void NoteWait(Wait aWait, Micros aTime);
+  void RecordWait(WaitKind aWait, Micros aTime);
 
   /// \brief What the thread did since the last call was of this kind.
-  void NoteWork(Work aWork, std::uint64_t aItems);
+  void RecordWork(WorkKind aWork, std::uint64_t aItems);
 
   /// \brief A round of the loop is over.
-  void EndRound();
+  void EndIteration();
 
   /// \brief A line for the log where something waited for too long since the
   /// last one; a bounded number of them.
-  [[nodiscard]] std::optional<std::string> TakeLine(Micros aNow);
+  [[nodiscard]] std::optional<std::string> TakeLogLine(Micros aNow);
 
   /// \brief Adds items and processor time by kind of work.
   void Count(dispatch::Counters& aCounters) const;
 
 private:
   static constexpr std::size_t kWaits =
-    static_cast<std::size_t>(Wait::Disk) + 1;
+    static_cast<std::size_t>(WaitKind::Disk) + 1;
   static constexpr std::size_t kWorks =
-    static_cast<std::size_t>(Work::Time) + 1;
+    static_cast<std::size_t>(WorkKind::Time) + 1;
   struct Done
   {
     std::uint64_t mItems = 0;
--- a/tests/load_watch_test.cpp
+++ b/tests/load_watch_test.cpp
@@ -5,9 +5,9 @@
 namespace geraniumpond::frontend {
 
 /// \brief A process that tells how late it is.
-class LoadWatchTest : public CppUnit::TestFixture
+class LoadMonitorTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(LoadWatchTest);
+  CPPUNIT_TEST_SUITE(LoadMonitorTest);
   CPPUNIT_TEST(ShortWaitsAreNotLogged);
   CPPUNIT_TEST(LongWaitIsLoggedOnceWithWhatTheLoopDid);
   CPPUNIT_TEST(WorkIsCountedByKind);
@@ -17,28 +17,28 @@
 public:
   void ShortWaitsAreNotLogged()
   {
-    mWatch.NoteWait(Wait::Loop, 20 * kMillisecond);
-    CPPUNIT_ASSERT(!mWatch.TakeLine(10 * kSecond));
+    mMonitor.RecordWait(WaitKind::Loop, 20 * kMillisecond);
+    CPPUNIT_ASSERT(!mMonitor.TakeLogLine(10 * kSecond));
   }
 
   void LongWaitIsLoggedOnceWithWhatTheLoopDid()
   {
-    mWatch.NoteWait(Wait::Inbox, 300 * kMillisecond);
-    mWatch.NoteWait(Wait::Inbox, 30 * kMillisecond);
-    mWatch.NoteWork(Work::Reports, 7);
-    const std::optional<std::string> line = mWatch.TakeLine(10 * kSecond);
+    mMonitor.RecordWait(WaitKind::Inbox, 300 * kMillisecond);
+    mMonitor.RecordWait(WaitKind::Inbox, 30 * kMillisecond);
+    mMonitor.RecordWork(WorkKind::Reports, 7);
+    const std::optional<std::string> line = mMonitor.TakeLogLine(10 * kSecond);
     CPPUNIT_ASSERT(line);
     CPPUNIT_ASSERT(line->find(" inbox_ms=300 ") != std::string::npos);
     CPPUNIT_ASSERT(line->find(" reports=7 ") != std::string::npos);
-    CPPUNIT_ASSERT(!mWatch.TakeLine(20 * kSecond));
+    CPPUNIT_ASSERT(!mMonitor.TakeLogLine(20 * kSecond));
   }
 
   void WorkIsCountedByKind()
   {
-    mWatch.NoteWork(Work::Replies, 2);
-    mWatch.NoteWork(Work::Replies, 3);
+    mMonitor.RecordWork(WorkKind::Replies, 2);
+    mMonitor.RecordWork(WorkKind::Replies, 3);
     dispatch::Counters counters;
-    mWatch.Count(counters);
+    mMonitor.Count(counters);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), counters.at("work_replies"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), counters.at("work_disk"));
     CPPUNIT_ASSERT(counters.count("work_replies_microseconds") == 1);
@@ -57,24 +57,24 @@
   std::uint64_t TimeOfRound(Micros aWait)
   {
     dispatch::Counters before;
-    mWatch.Count(before);
-    mWatch.NoteWait(Wait::Loop, aWait);
+    mMonitor.Count(before);
+    mMonitor.RecordWait(WaitKind::Loop, aWait);
     volatile double sum = 0;
     for (int i = 0; i < 1000000; ++i) {
       sum = sum + i;
     }
-    mWatch.NoteWork(Work::Replies, 1);
-    mWatch.EndRound();
+    mMonitor.RecordWork(WorkKind::Replies, 1);
+    mMonitor.EndIteration();
     dispatch::Counters after;
-    mWatch.Count(after);
+    mMonitor.Count(after);
     return after.at("work_replies_microseconds") -
            before.at("work_replies_microseconds");
   }
 
   Metrics mMetrics;
-  LoadWatch mWatch{ mMetrics };
+  LoadMonitor mMonitor{ mMetrics };
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LoadWatchTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadMonitorTest);
 
 } // namespace geraniumpond::frontend
