--- a/src/frontend/load_watch.cpp
+++ b/src/frontend/load_watch.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 /// Waits that are worth a line: a heartbeat of the control group is late then.
-constexpr Micros kLate = 150 * kMillisecond;
-constexpr Micros kLinePause = 500 * kMillisecond;
+constexpr Micros kLogThreshold = 150 * kMillisecond;
+constexpr Micros kMinLogInterval = 500 * kMillisecond;
 /// From a wait of this length on, processor time is told apart by kind of work.
-constexpr Micros kTimedFrom = 50 * kMillisecond;
+constexpr Micros kCpuTimeThreshold = 50 * kMillisecond;
 
 constexpr std::array<const char*, 4> kWaitNames = {
   "loop",
@@ -26,7 +26,7 @@
   "connections", "consensus", "reports", "replies", "commands", "disk", "time",
 };
 
-Micros ThreadTime()
+Micros ThreadCpuTime()
 {
   timespec time{};
   (void)::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -46,9 +46,9 @@
 }
 
 LoadMonitor::LoadMonitor(Metrics& aMetrics)
-  : mProcessorTime(ThreadTime())
+  : mLastCpuTime(ThreadCpuTime())
 {
-  for (std::size_t i = 0; i < kWaits; ++i) {
+  for (std::size_t i = 0; i < kWaitKinds; ++i) {
     mSeries[i] = &aMetrics.Find("wait", kWaitNames[i]);
   }
 }
@@ -56,19 +56,19 @@
 void LoadMonitor::RecordWait(WaitKind aWait, Micros aTime)
 {
   Metrics::Observe(*mSeries[static_cast<std::size_t>(aWait)], aTime);
-  mLongestOfRound = std::max(mLongestOfRound, aTime);
+  mLongestWaitOfIteration = std::max(mLongestWaitOfIteration, aTime);
   Micros& longest = mLongest[static_cast<std::size_t>(aWait)];
   longest = std::max(longest, aTime);
 }
 
 void LoadMonitor::RecordWork(WorkKind aWork, std::uint64_t aItems)
 {
-  Done& done = mDone[static_cast<std::size_t>(aWork)];
-  done.mItems += aItems;
-  if (mTimesWork) {
-    const Micros now = ThreadTime();
-    done.mTime += now - mProcessorTime;
-    mProcessorTime = now;
+  WorkTotals& totals = mTotals[static_cast<std::size_t>(aWork)];
+  totals.mItems += aItems;
+  if (mMeasuresCpuTime) {
+    const Micros now = ThreadCpuTime();
+    totals.mTime += now - mLastCpuTime;
+    mLastCpuTime = now;
   }
 }
 
@@ -76,46 +76,46 @@
 // would pay for each; so it is read while the process is late.
 void LoadMonitor::EndIteration()
 {
-  const bool late = mLongestOfRound >= kTimedFrom;
-  if (late && !mTimesWork) {
-    mProcessorTime = ThreadTime();
+  const bool isLate = mLongestWaitOfIteration >= kCpuTimeThreshold;
+  if (isLate && !mMeasuresCpuTime) {
+    mLastCpuTime = ThreadCpuTime();
   }
-  mTimesWork = late;
-  mLongestOfRound = 0;
+  mMeasuresCpuTime = isLate;
+  mLongestWaitOfIteration = 0;
 }
 
 std::optional<std::string> LoadMonitor::TakeLogLine(Micros aNow)
 {
   const Micros longest = *std::max_element(mLongest.begin(), mLongest.end());
-  if (longest < kLate || aNow < mLineAt + kLinePause) {
+  if (longest < kLogThreshold || aNow < mLastLineAt + kMinLogInterval) {
     return std::nullopt;
   }
   std::string line = "event=host_late";
-  for (std::size_t i = 0; i < kWaits; ++i) {
+  for (std::size_t i = 0; i < kWaitKinds; ++i) {
     line += std::string(" ") + kWaitNames[i] +
             "_ms=" + std::to_string(mLongest[i] / kMillisecond);
   }
-  const Micros since = mLineAt == 0 ? 0 : aNow - mLineAt;
+  const Micros since = mLastLineAt == 0 ? 0 : aNow - mLastLineAt;
   line += " since_ms=" + std::to_string(since / kMillisecond);
-  for (std::size_t i = 0; i < kWorks; ++i) {
-    const std::uint64_t items = mDone[i].mItems - mDoneBefore[i].mItems;
-    const Micros time = mDone[i].mTime - mDoneBefore[i].mTime;
+  for (std::size_t i = 0; i < kWorkKinds; ++i) {
+    const std::uint64_t items = mTotals[i].mItems - mTotalsAtLastLine[i].mItems;
+    const Micros time = mTotals[i].mTime - mTotalsAtLastLine[i].mTime;
     line += std::string(" ") + kWorkNames[i] + "=" + std::to_string(items) +
             " " + kWorkNames[i] + "_us=" + std::to_string(time);
   }
   mLongest.fill(0);
-  mDoneBefore = mDone;
-  mLineAt = aNow;
+  mTotalsAtLastLine = mTotals;
+  mLastLineAt = aNow;
   return line;
 }
 
 void LoadMonitor::Count(dispatch::Counters& aCounters) const
 {
-  for (std::size_t i = 0; i < kWorks; ++i) {
+  for (std::size_t i = 0; i < kWorkKinds; ++i) {
     const std::string name = std::string("work_") + kWorkNames[i];
-    aCounters[name] = mDone[i].mItems;
+    aCounters[name] = mTotals[i].mItems;
     aCounters[name + "_microseconds"] =
-      static_cast<std::uint64_t>(mDone[i].mTime);
+      static_cast<std::uint64_t>(mTotals[i].mTime);
   }
 }
 
--- a/src/frontend/load_watch.h
+++ b/src/frontend/load_watch.h
@@ -65,26 +65,26 @@
   void Count(dispatch::Counters& aCounters) const;
 
 private:
-  static constexpr std::size_t kWaits =
+  static constexpr std::size_t kWaitKinds =
     static_cast<std::size_t>(WaitKind::Disk) + 1;
-  static constexpr std::size_t kWorks =
+  static constexpr std::size_t kWorkKinds =
     static_cast<std::size_t>(WorkKind::Time) + 1;
-  struct Done
+  struct WorkTotals
   {
     std::uint64_t mItems = 0;
     Micros mTime = 0;
   };
 
-  std::array<Metrics::Series*, kWaits> mSeries{};
-  std::array<Micros, kWaits> mLongest{};
+  std::array<Metrics::Series*, kWaitKinds> mSeries{};
+  std::array<Micros, kWaitKinds> mLongest{};
   /// Processor time is told apart by kind of work.
-  bool mTimesWork = false;
-  std::array<Done, kWorks> mDone{};
+  bool mMeasuresCpuTime = false;
+  std::array<WorkTotals, kWorkKinds> mTotals{};
   /// The same at the last line.
-  std::array<Done, kWorks> mDoneBefore{};
-  Micros mProcessorTime = 0;
-  Micros mLongestOfRound = 0;
-  Micros mLineAt = 0;
+  std::array<WorkTotals, kWorkKinds> mTotalsAtLastLine{};
+  Micros mLastCpuTime = 0;
+  Micros mLongestWaitOfIteration = 0;
+  Micros mLastLineAt = 0;
 };
 
 } // namespace geraniumpond::frontend
