--- a/src/frontend/metrics.cpp
+++ b/src/frontend/metrics.cpp
@@ -8,8 +8,8 @@
 
 /// Buckets from a tenth of a millisecond to half a minute, ten a decade.
 constexpr unsigned kBuckets = 55;
-constexpr double kLeast = 0.0001;
-constexpr double kMost = 30;
+constexpr double kMinSeconds = 0.0001;
+constexpr double kMaxSeconds = 30;
 constexpr const char* kPrefix = "geraniumpond_";
 
 } // namespace
@@ -20,9 +20,10 @@
   const auto key = std::make_pair(aName, aLabel);
   auto found = mSeries.find(key);
   if (found == mSeries.end()) {
-    Series series{
-      boost::histogram::make_histogram(Axis(kBuckets, kLeast, kMost)), 0, 0
-    };
+    Series series{ boost::histogram::make_histogram(
+                     Axis(kBuckets, kMinSeconds, kMaxSeconds)),
+                   0,
+                   0 };
     found = mSeries.emplace(key, std::move(series)).first;
   }
   return found->second;
@@ -56,11 +57,12 @@
   for (const auto& [key, series] : mSeries) {
     const std::string name = kPrefix + key.first + "_seconds";
     const std::string label = "kind=\"" + key.second + "\"";
-    double below = series.mHistogram.at(-1);
+    double cumulative = series.mHistogram.at(-1);
     for (int i = 0; i < static_cast<int>(kBuckets); ++i) {
-      below += series.mHistogram.at(i);
+      cumulative += series.mHistogram.at(i);
       out << name << "_bucket{" << label << ",le=\""
-          << series.mHistogram.axis().bin(i).upper() << "\"} " << below << "\n";
+          << series.mHistogram.axis().bin(i).upper() << "\"} " << cumulative
+          << "\n";
     }
     out << name << "_bucket{" << label << ",le=\"+Inf\"} " << series.mCount
         << "\n"
