--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -45,7 +45,7 @@
       aExchange,
       MakeResponse(200,
                    "application/json",
-                   QuarantineText(mState.mDispatch.mQuarantine, mNow)));
+                   QuarantineJson(mState.mDispatch.mQuarantine, mNow)));
   } else if (const auto* release = std::get_if<ReleaseRequestCall>(&call)) {
     Post(gateway::ReleaseRequest{ aExchange, release->mIdentity });
   } else if (std::holds_alternative<MetricsCall>(call)) {
@@ -117,7 +117,7 @@
     gauges["voters_answering"] = health.mAnswering;
     gauges["losses_tolerated"] = health.mTolerated;
   }
-  CountVerdicts(mState.mDispatch.mQuarantine, mNow, gauges);
+  AddVerdictGauges(mState.mDispatch.mQuarantine, mNow, gauges);
   gauges["facts"] = static_cast<double>(fleet.mGossip.mEntries.size());
   gauges["peer_connections"] = static_cast<double>(mPeers->Connections());
   dispatch::Counters counters = mState.mDispatch.mCounters;
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -49,7 +49,7 @@
   return ReleaseRequestCall{ identity };
 }
 
-std::string QuarantineText(const quarantine::State& aState, Micros aNow)
+std::string QuarantineJson(const quarantine::State& aState, Micros aNow)
 {
   Array::Ptr requests = new Array;
   for (const auto& [identity, record] : aState.mRecords) {
@@ -77,9 +77,9 @@
   return text.str();
 }
 
-void CountVerdicts(const quarantine::State& aState,
-                   Micros aNow,
-                   std::map<std::string, double>& aGauges)
+void AddVerdictGauges(const quarantine::State& aState,
+                      Micros aNow,
+                      std::map<std::string, double>& aGauges)
 {
   double& suspected = aGauges["requests_suspected"];
   double& quarantined = aGauges["requests_quarantined"];
--- a/src/frontend/quarantine_calls.h
+++ b/src/frontend/quarantine_calls.h
@@ -16,12 +16,12 @@
   const std::string& aPath);
 
 /// \brief Suspected and quarantined requests with their evidence, as JSON.
-[[nodiscard]] std::string QuarantineText(const quarantine::State& aState,
+[[nodiscard]] std::string QuarantineJson(const quarantine::State& aState,
                                          Micros aNow);
 
 /// \brief Adds how many requests are suspected, and how many quarantined.
-void CountVerdicts(const quarantine::State& aState,
-                   Micros aNow,
-                   std::map<std::string, double>& aGauges);
+void AddVerdictGauges(const quarantine::State& aState,
+                      Micros aNow,
+                      std::map<std::string, double>& aGauges);
 
 } // namespace geraniumpond::frontend
