--- a/include/geraniumpond/gateway_settings.h
+++ b/include/geraniumpond/gateway_settings.h
@@ -54,7 +54,7 @@
   const std::string& aFile);
 
 /// \brief Peer addresses of the seeds: their IPs at the own peer port.
-[[nodiscard]] std::vector<std::string> SeedPeers(
+[[nodiscard]] std::vector<std::string> SeedPeerAddresses(
   const GatewaySettings& aSettings);
 
 } // namespace geraniumpond
--- a/src/config/gateway_settings.cpp
+++ b/src/config/gateway_settings.cpp
@@ -137,7 +137,7 @@
   return result;
 }
 
-std::vector<std::string> SeedPeers(const GatewaySettings& aSettings)
+std::vector<std::string> SeedPeerAddresses(const GatewaySettings& aSettings)
 {
   const std::string& own = aSettings.mPeerAddress;
   const std::string port = own.substr(own.rfind(':'));
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -182,7 +182,7 @@
   settings.mFleet.mDataCentre = mSettings.mDataCentre;
   settings.mFleet.mIncarnation = static_cast<std::uint64_t>(WallNow());
   settings.mFleet.mControl = !mSettings.mDataFolder.empty();
-  settings.mFleet.mSeeds = SeedPeers(mSettings);
+  settings.mFleet.mSeeds = SeedPeerAddresses(mSettings);
   settings.mFleet.mToleratedLosses = mSettings.mToleratedLosses;
   settings.mBounds.mExtraRatio = mSettings.mExtraRatio;
   settings.mBounds.mExtraFloor = mSettings.mExtraFloor;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -329,7 +329,8 @@
     const auto read = ParseGatewaySettings(text, "f");
     CPPUNIT_ASSERT(read.Ok());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), read.mValue.mCallAddresses.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:3"), SeedPeers(read.mValue)[0]);
+    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:3"),
+                         SeedPeerAddresses(read.mValue)[0]);
     CPPUNIT_ASSERT_EQUAL(6 * kSecond, read.mValue.mStopGrace);
     const auto wrong = ParseGatewaySettings(
       Replaced(text, "stop_grace = 6s", "stop_grace = 6"), "f");
