--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -62,7 +62,7 @@
 "max_body_bytes":67108864,"header_timeout":"3000ms",
 "idle_timeout":"15000ms"}}]})";
 
-constexpr const char* kBeat =
+constexpr const char* kHeartbeat =
   R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":2,
 "state":"ready","warmup_left":"0ms","sequence":4})";
 
@@ -71,21 +71,21 @@
 class PlatformTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PlatformTest);
-  CPPUNIT_TEST(PolicyDocumentIsDecodedOnce);
-  CPPUNIT_TEST(InvalidPolicyDocumentsAreRefusedWithAReason);
-  CPPUNIT_TEST(CallsAreRead);
-  CPPUNIT_TEST(TimeOfBirthIsReadWhereItIsSaid);
-  CPPUNIT_TEST(HeartbeatOfAnotherWriterNamesNoTarget);
-  CPPUNIT_TEST(BadCallsAreInvalid);
-  CPPUNIT_TEST(EndsBecomeTheStatusesThatCallersAct);
-  CPPUNIT_TEST(NamesOfThePlatformStandInItsFolderAlone);
-  CPPUNIT_TEST(OwnPolicyFileSaysTheSame);
+  CPPUNIT_TEST(PolicyDocumentIsDecoded);
+  CPPUNIT_TEST(InvalidPolicyDocumentsAreRejected);
+  CPPUNIT_TEST(CallsAreParsed);
+  CPPUNIT_TEST(StartTimeIsReadWherePresent);
+  CPPUNIT_TEST(InvalidHeartbeatIsRejected);
+  CPPUNIT_TEST(InvalidCallsAreRejected);
+  CPPUNIT_TEST(OperationResultsMapToHttpStatuses);
+  CPPUNIT_TEST(PlatformNamesOccurOnlyInPlatformFolder);
+  CPPUNIT_TEST(PolicyFileMatchesPolicyDocument);
   CPPUNIT_TEST(GatewaySettingsAreChecked);
   CPPUNIT_TEST(LongestPrefixOfTheHostWins);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PolicyDocumentIsDecodedOnce()
+  void PolicyDocumentIsDecoded()
   {
     const auto decoded = DecodePolicy(kDocument);
     CPPUNIT_ASSERT(decoded);
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_EQUAL(15 * kSecond, read.mLimits.mIdleTimeout);
   }
 
-  void InvalidPolicyDocumentsAreRefusedWithAReason()
+  void InvalidPolicyDocumentsAreRejected()
   {
     const std::pair<std::string, std::string> changes[] = {
       { "\"service\":\"s1\",\"weight\":90",
@@ -136,7 +136,7 @@
     }
   }
 
-  void CallsAreRead()
+  void CallsAreParsed()
   {
     const frontend::Call announce =
       Read("POST",
@@ -165,12 +165,12 @@
                          std::get<frontend::ResolveCall>(resolve).mDataCentre);
   }
 
-  void TimeOfBirthIsReadWhereItIsSaid()
+  void StartTimeIsReadWherePresent()
   {
     const frontend::Call announce =
       Read("POST",
            "/v1/rpc?call=instances.heartbeat&of=i-1",
-           Replaced(kBeat, "{", "{\"born\":1790000000123,"));
+           Replaced(kHeartbeat, "{", "{\"born\":1790000000123,"));
     CPPUNIT_ASSERT_EQUAL(
       std::uint64_t(1790000000123),
       std::get<frontend::RegisterTargetCall>(announce).mRecord.born_ms());
@@ -184,11 +184,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1790000000123), removal.born_ms());
   }
 
-  void HeartbeatOfAnotherWriterNamesNoTarget()
+  void InvalidHeartbeatIsRejected()
   {
     const char* path = "/v1/rpc?call=instances.heartbeat&of=i-1";
     CPPUNIT_ASSERT(std::holds_alternative<frontend::RegisterTargetCall>(
-      Read("POST", path, kBeat)));
+      Read("POST", path, kHeartbeat)));
     const std::pair<std::string, std::string> changes[] = {
       { "\"service\":\"s\",", "" },
       { "\"service\":\"s\"", "\"service\":7" },
@@ -222,7 +222,7 @@
       { "}", "" },
     };
     for (const auto& [from, to] : changes) {
-      const std::string body = Replaced(kBeat, from, to);
+      const std::string body = Replaced(kHeartbeat, from, to);
       CPPUNIT_ASSERT_MESSAGE(body,
                              std::holds_alternative<frontend::InvalidCall>(
                                Read("POST", path, body)));
@@ -234,7 +234,7 @@
     }
   }
 
-  void BadCallsAreInvalid()
+  void InvalidCallsAreRejected()
   {
     const std::pair<std::string, std::string> calls[] = {
       { "/v1/rpc?call=instances.heartbeat", "{}" },
@@ -252,7 +252,7 @@
     }
   }
 
-  void EndsBecomeTheStatusesThatCallersAct()
+  void OperationResultsMapToHttpStatuses()
   {
     using gateway::OperationEnd;
     const frontend::Dialect dialect = PlatformDialect();
@@ -273,7 +273,7 @@
         .mBody);
   }
 
-  void NamesOfThePlatformStandInItsFolderAlone()
+  void PlatformNamesOccurOnlyInPlatformFolder()
   {
     const char* names[] = {
       "weighted_backends", "Upstream-Signature", "route_type",
@@ -296,7 +296,7 @@
     }
   }
 
-  void OwnPolicyFileSaysTheSame()
+  void PolicyFileMatchesPolicyDocument()
   {
     const auto read = policy::DecodePolicyFile(
       "[policy]\nversion = 7\nbase = 5\n"
