--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -10,21 +10,21 @@
 class HttpTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HttpTest);
-  CPPUNIT_TEST(RequestCutAnywhereIsReadTheSame);
+  CPPUNIT_TEST(RequestSplitAnywhereIsReadTheSame);
   CPPUNIT_TEST(PipelinedRequestsAreReadOneByOne);
-  CPPUNIT_TEST(AmbiguousRequestsAreRefused);
-  CPPUNIT_TEST(LimitsOfAPolicyAreKept);
-  CPPUNIT_TEST(ResponseCutAnywhereIsReadTheSame);
+  CPPUNIT_TEST(AmbiguousRequestsAreRejected);
+  CPPUNIT_TEST(PolicyLimitsAreEnforced);
+  CPPUNIT_TEST(ResponseSplitAnywhereIsReadTheSame);
   CPPUNIT_TEST(ResponseThatEndsEarlyIsNeverComplete);
   CPPUNIT_TEST(InterimResponsesAreSkipped);
-  CPPUNIT_TEST(BytesThatAreNoResponseAreMalformed);
-  CPPUNIT_TEST(SerializedResponseHasItsLengthAndNoHopFields);
-  CPPUNIT_TEST(LoadIsReadWhereItIsSound);
-  CPPUNIT_TEST(LimitIsReadWhereItIsSound);
+  CPPUNIT_TEST(NonHttpBytesAreMalformed);
+  CPPUNIT_TEST(SerializedResponseHasContentLengthAndNoHopByHopFields);
+  CPPUNIT_TEST(OnlyValidLoadIsParsed);
+  CPPUNIT_TEST(OnlyValidLimitIsParsed);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void RequestCutAnywhereIsReadTheSame()
+  void RequestSplitAnywhereIsReadTheSame()
   {
     const std::string texts[] = {
       "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello",
@@ -32,12 +32,12 @@
       "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nTrailer: t\r\n\r\n",
     };
     for (const std::string& text : texts) {
-      for (std::size_t cut = 0; cut <= text.size(); ++cut) {
+      for (std::size_t split = 0; split <= text.size(); ++split) {
         RequestReader reader;
-        std::string buffer = text.substr(0, cut);
-        if (cut < text.size()) {
+        std::string buffer = text.substr(0, split);
+        if (split < text.size()) {
           CPPUNIT_ASSERT(reader.Read(buffer, {}) == ReadStatus::Partial);
-          buffer += text.substr(cut);
+          buffer += text.substr(split);
         }
         CPPUNIT_ASSERT(reader.Read(buffer, {}) == ReadStatus::Complete);
         const HttpRequest request = reader.Take();
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(!second.mKeepAlive);
   }
 
-  void AmbiguousRequestsAreRefused()
+  void AmbiguousRequestsAreRejected()
   {
     const std::string heads[] = {
       "Host: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n",
@@ -85,7 +85,7 @@
     }
   }
 
-  void LimitsOfAPolicyAreKept()
+  void PolicyLimitsAreEnforced()
   {
     policy::RequestLimits limits;
     limits.mMaxHeaderBytes = 100;
@@ -110,16 +110,16 @@
     }
   }
 
-  void ResponseCutAnywhereIsReadTheSame()
+  void ResponseSplitAnywhereIsReadTheSame()
   {
     const std::string text =
       "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nKeep-Alive: timeout=7\r\n\r\n"
       "body";
-    for (std::size_t cut = 0; cut < text.size(); ++cut) {
+    for (std::size_t split = 0; split < text.size(); ++split) {
       ResponseReader reader;
-      std::string buffer = text.substr(0, cut);
+      std::string buffer = text.substr(0, split);
       CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Partial);
-      buffer += text.substr(cut);
+      buffer += text.substr(split);
       CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Complete);
       const HttpResponse response = reader.Take();
       CPPUNIT_ASSERT_EQUAL(std::string("body"), response.mBody);
@@ -161,7 +161,7 @@
     CPPUNIT_ASSERT_EQUAL(204, reader.Take().mStatus);
   }
 
-  void BytesThatAreNoResponseAreMalformed()
+  void NonHttpBytesAreMalformed()
   {
     for (const std::string text :
          { "garbage",
@@ -175,7 +175,7 @@
     }
   }
 
-  void SerializedResponseHasItsLengthAndNoHopFields()
+  void SerializedResponseHasContentLengthAndNoHopByHopFields()
   {
     HttpResponse response = MakeResponse(200, "text/plain", "body");
     response.mFields.emplace_back("Connection", "X-Hop, keep-alive");
@@ -191,7 +191,7 @@
                          text);
   }
 
-  void LimitIsReadWhereItIsSound()
+  void OnlyValidLimitIsParsed()
   {
     using Kind = dispatch::LimitWord::Kind;
     const auto read = [](const HeaderFields& aFields) {
@@ -215,7 +215,7 @@
     CPPUNIT_ASSERT(read(twice).mKind == Kind::Unreadable);
   }
 
-  void LoadIsReadWhereItIsSound()
+  void OnlyValidLoadIsParsed()
   {
     const auto full = ParseLoad("3, 1,8,250");
     CPPUNIT_ASSERT(full.has_value());
