--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -41,9 +41,9 @@
 class HttpServerTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HttpServerTest);
-  CPPUNIT_TEST(ConnectionsThatWaitAreTakenTogether);
-  CPPUNIT_TEST(RequestWhoseClientHasLeftIsNotTaken);
-  CPPUNIT_TEST(RequestWhoseClientStaysIsAnswered);
+  CPPUNIT_TEST(WaitingConnectionsAreAcceptedTogether);
+  CPPUNIT_TEST(RequestOfDisconnectedClientIsDropped);
+  CPPUNIT_TEST(RequestOfConnectedClientIsAnswered);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -53,7 +53,7 @@
   // A host that took twenty times as many requests as others after a loss of
   // power logged `client_left` with took_ms of 1 to 20 for clients that give up
   // after a second at the soonest: the rest of that second was the queue.
-  void ConnectionsThatWaitAreTakenTogether()
+  void WaitingConnectionsAreAcceptedTogether()
   {
     SendRequests(kClients);
     Run(kRounds);
@@ -64,7 +64,7 @@
   // The request was taken all the same, and passed on before the close was
   // seen a round later: lines `client_left` a few milliseconds after the
   // request's arrival, some with sent=1.
-  void RequestWhoseClientHasLeftIsNotTaken()
+  void RequestOfDisconnectedClientIsDropped()
   {
     SendRequests(kClients);
     mClients.clear();
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), mServer.Connections());
   }
 
-  void RequestWhoseClientStaysIsAnswered()
+  void RequestOfConnectedClientIsAnswered()
   {
     SendRequests(1);
     Run(kRounds);
--- a/tests/load_watch_test.cpp
+++ b/tests/load_watch_test.cpp
@@ -9,9 +9,9 @@
 {
   CPPUNIT_TEST_SUITE(LoadMonitorTest);
   CPPUNIT_TEST(ShortWaitsAreNotLogged);
-  CPPUNIT_TEST(LongWaitIsLoggedOnceWithWhatTheLoopDid);
+  CPPUNIT_TEST(LongWaitIsLoggedOnceWithLoopActivity);
   CPPUNIT_TEST(WorkIsCountedByKind);
-  CPPUNIT_TEST(ProcessorTimeIsToldApartWhileTheProcessIsLate);
+  CPPUNIT_TEST(CpuTimeIsMeasuredWhileTheProcessIsLate);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -21,7 +21,7 @@
     CPPUNIT_ASSERT(!mMonitor.TakeLogLine(10 * kSecond));
   }
 
-  void LongWaitIsLoggedOnceWithWhatTheLoopDid()
+  void LongWaitIsLoggedOnceWithLoopActivity()
   {
     mMonitor.RecordWait(WaitKind::Inbox, 300 * kMillisecond);
     mMonitor.RecordWait(WaitKind::Inbox, 30 * kMillisecond);
@@ -44,17 +44,17 @@
     CPPUNIT_ASSERT(counters.count("work_replies_microseconds") == 1);
   }
 
-  void ProcessorTimeIsToldApartWhileTheProcessIsLate()
+  void CpuTimeIsMeasuredWhileTheProcessIsLate()
   {
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), TimeOfRound(kMillisecond));
-    (void)TimeOfRound(100 * kMillisecond);
-    CPPUNIT_ASSERT(TimeOfRound(kMillisecond) > 0);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), TimeOfRound(kMillisecond));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), CpuTimeOfIteration(kMillisecond));
+    (void)CpuTimeOfIteration(100 * kMillisecond);
+    CPPUNIT_ASSERT(CpuTimeOfIteration(kMillisecond) > 0);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), CpuTimeOfIteration(kMillisecond));
   }
 
 private:
   // Processor time that one round of work on replies is charged with.
-  std::uint64_t TimeOfRound(Micros aWait)
+  std::uint64_t CpuTimeOfIteration(Micros aWait)
   {
     dispatch::Counters before;
     mMonitor.Count(before);
--- a/tests/request_digest_test.cpp
+++ b/tests/request_digest_test.cpp
@@ -26,13 +26,13 @@
 class RequestDigestTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestDigestTest);
-  CPPUNIT_TEST(LaterTryHasTheSameDigest);
-  CPPUNIT_TEST(OtherMethodBodyOrCallerHasAnother);
-  CPPUNIT_TEST(CallerIsToldByTheFieldsThatAreNamed);
+  CPPUNIT_TEST(RetryHasTheSameDigest);
+  CPPUNIT_TEST(DifferentMethodBodyOrCallerHasDifferentDigest);
+  CPPUNIT_TEST(CallerIsIdentifiedByConfiguredFields);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void LaterTryHasTheSameDigest()
+  void RetryHasTheSameDigest()
   {
     HttpRequest later = MakeRequest();
     later.mFields[1].second = "2";
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT_EQUAL(DigestOf(MakeRequest()), DigestOf(later));
   }
 
-  void OtherMethodBodyOrCallerHasAnother()
+  void DifferentMethodBodyOrCallerHasDifferentDigest()
   {
     HttpRequest method = MakeRequest();
     method.mMethod = "PUT";
@@ -56,7 +56,7 @@
     }
   }
 
-  void CallerIsToldByTheFieldsThatAreNamed()
+  void CallerIsIdentifiedByConfiguredFields()
   {
     HttpRequest other = MakeRequest();
     other.mFields[2].second = "Bearer omar";
