--- a/src/cli/gateway.cpp
+++ b/src/cli/gateway.cpp
@@ -2,7 +2,7 @@
 
 #include "command.h"
 #include "frontend/gateway_host.h"
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <geraniumpond/gateway_settings.h>
 
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/native_dialect.cpp
@@ -1,4 +1,4 @@
-#include "own_dialect.h"
+#include "native_dialect.h"
 
 #include "quarantine_calls.h"
 
--- a/tests/gateway_stop_test.cpp
+++ b/tests/gateway_stop_test.cpp
@@ -1,6 +1,6 @@
 #include "fakes/free_address.h"
 #include "frontend/gateway_process.h"
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,6 +1,6 @@
 #include "dialect.h"
 
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <geraniumpond/gateway_settings.h>
 #include <geraniumpond/policy_file.h>
