--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -4,7 +4,7 @@
 #include "disk_writer.h"
 #include "event_loop.h"
 #include "http_server.h"
-#include "load_watch.h"
+#include "load_monitor.h"
 #include "metrics.h"
 #include "target_pool.h"
 
--- a/src/frontend/load_watch.cpp
+++ b/src/frontend/load_monitor.cpp
@@ -1,4 +1,4 @@
-#include "load_watch.h"
+#include "load_monitor.h"
 
 #include <algorithm>
 #include <ctime>
--- a/tests/load_watch_test.cpp
+++ b/tests/load_monitor_test.cpp
@@ -1,4 +1,4 @@
-#include "frontend/load_watch.h"
+#include "frontend/load_monitor.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
