--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-// Calls of targets, operators and directory clients.
+// Handles calls from targets, operators and directory clients.
 namespace geraniumpond::frontend {
 
 namespace {
@@ -74,8 +74,8 @@
   Post(gateway::ReadPolicy{ aExchange, hasPort });
 }
 
-// All hosts take calls at the same ports: the other host's address is its IP
-// and the port that this call came to.
+// All hosts listen for calls on the same ports, so the redirect combines the
+// other host's IP with the port of the original call.
 HttpResponse GatewayProcess::RedirectTo(const std::string& aPeerAddress,
                                         const PolicyReadUrl& aUrl) const
 {
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -5,15 +5,17 @@
 #include <algorithm>
 #include <cstdio>
 
-// What the reducer asks for, done on sockets, disk and log.
+// Carries out the reducer's effects on sockets, disk and log.
 namespace geraniumpond::frontend {
 
 namespace {
 
-/// Deadlines handed to targets end this much before the client's.
-constexpr Micros kAnswerTrip = 2 * kMillisecond;
+/// Targets get a deadline this much before the client's, which leaves time to
+/// return the answer.
+constexpr Micros kReturnMargin = 2 * kMillisecond;
 
-// Seconds with a fraction, as clients take it.
+// Seconds with a fractional part, which the project's clients accept although
+// RFC 9110 allows whole seconds only.
 std::string RetryAfterText(Micros aTime)
 {
   char text[32];
@@ -79,7 +81,7 @@
   outbound.mBytes = RequestBytes(request,
                                  mDialect.mFieldNames,
                                  aEffect.mTargetName,
-                                 aEffect.mDeadline - mNow - kAnswerTrip);
+                                 aEffect.mDeadline - mNow - kReturnMargin);
   outbound.mRequestId = id == nullptr ? "" : *id;
   outbound.mHeadOnly = request.mMethod == "HEAD";
   outbound.mProvenConnection = aEffect.mProvenConnection;
--- a/src/frontend/gateway_host.cpp
+++ b/src/frontend/gateway_host.cpp
@@ -18,7 +18,7 @@
 std::atomic<bool> gStopRequested{ false };
 std::atomic<bool> gReloadRequested{ false };
 
-void TakeSignal(int aSignal)
+void HandleSignal(int aSignal)
 {
   if (aSignal == SIGHUP) {
     gReloadRequested = true;
@@ -27,11 +27,12 @@
   }
 }
 
-// Signals end a wait of the loop; they are acted on outside of the handler.
-void CatchSignals()
+// A signal interrupts the loop's wait; the loop then acts on the flag that the
+// handler has set.
+void InstallSignalHandlers()
 {
   struct sigaction action = {};
-  action.sa_handler = TakeSignal;
+  action.sa_handler = HandleSignal;
   sigemptyset(&action.sa_mask);
   for (const int number : { SIGTERM, SIGINT, SIGHUP }) {
     sigaction(number, &action, nullptr);
@@ -59,7 +60,7 @@
       process.RequestStop();
     }
     if (gReloadRequested.exchange(false)) {
-      // All that may change in a settings file counts at a start only.
+      // Settings are read at startup only, so a reload changes nothing.
       edge::WriteLog(1, "event=reload changed=nothing");
     }
   } while (process.RunOnce());
@@ -71,7 +72,7 @@
 int RunGateway(const GatewaySettings& aSettings, const Dialect& aDialect)
 {
   edge::StartLogging(aSettings.mId, aSettings.mLogFormat, aSettings.mLogLevel);
-  CatchSignals();
+  InstallSignalHandlers();
   try {
     return Serve(aSettings, aDialect);
   } catch (const Poco::Exception& error) {
--- a/src/frontend/gateway_host.h
+++ b/src/frontend/gateway_host.h
@@ -6,7 +6,8 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Runs one gateway host until it is told to stop; its exit code.
+/// \brief Runs one gateway host until it is told to stop. Returns the exit
+/// code.
 int RunGateway(const GatewaySettings& aSettings, const Dialect& aDialect);
 
 } // namespace geraniumpond::frontend
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -20,15 +20,15 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-/// Sweeps of connections happen at this pace even when nothing else does.
+/// Upper bound of a wait, so that connection timeouts are checked in time.
 constexpr Micros kLongestWait = 50 * kMillisecond;
-/// Messages of other hosts, those of consensus aside, that are taken before
-/// clients and consensus have their turn again.
+/// Peer messages other than consensus messages that are handled in one
+/// iteration before clients and consensus are served again.
 constexpr std::size_t kMaxPeerMessagesPerRound = 16;
-/// A loop that comes this late to its work has no processor to spare.
+/// A loop that is this late has no spare processor time.
 constexpr Micros kLateThreshold = 20 * kMillisecond;
-/// Pace at which a late loop lets messages pass, and for how long at most: as
-/// long as it works itself.
+/// How often a late loop yields to the message thread, and for how long at
+/// most. The two are equal, so that the loop keeps half of the time.
 constexpr Micros kYieldInterval = 40 * kMillisecond;
 constexpr Micros kMaxYield = 40 * kMillisecond;
 constexpr double kBytesPerMegabit = 125000;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-/// \brief Clients' requests become arrivals.
+/// \brief Turns client requests into arrival events.
 class GatewayProcess::ClientSink : public RequestSink
 {
 public:
@@ -114,7 +114,7 @@
   GatewayProcess& mProcess;
 };
 
-/// \brief Calls of targets, operators and directory clients.
+/// \brief Receives calls from targets, operators and directory clients.
 class GatewayProcess::CallSink : public RequestSink
 {
 public:
@@ -127,7 +127,7 @@
   {
     mProcess.HandleCall(aExchange, aRequest);
   }
-  // An operation runs to its end without its caller.
+  // An operation completes even if its caller disconnects.
   void OnClientDisconnected(std::uint64_t) override {}
   void OnMalformed(int aStatus, const std::string& aReason) override
   {
@@ -154,7 +154,7 @@
   mNow = Now();
 }
 
-// Threads end first: they post into what else is here.
+// The threads are joined first because their callbacks use other members.
 GatewayProcess::~GatewayProcess()
 {
   mPeers.reset();
@@ -360,10 +360,9 @@
   }
 }
 
-// A loop that always has work keeps a small host's processor from the thread
-// that carries messages between hosts: a heartbeat that waits there is a lost
-// leader. So a loop that is late waits for that thread, for a bounded share of
-// the time.
+// On a small host, a loop that is always busy starves the thread that carries
+// peer messages; a heartbeat delayed there costs the group its leader. A late
+// loop therefore yields to that thread for a bounded share of the time.
 void GatewayProcess::YieldToMessageThread(Micros aDueAt)
 {
   const Micros lateness = std::max<Micros>(0, mNow - aDueAt);
@@ -399,7 +398,7 @@
   return !mExited;
 }
 
-// Connections measure their times from the last of these calls.
+// Connections measure timeouts from the time of the last tick.
 void GatewayProcess::TickConnections()
 {
   mTargets.Tick(mNow);
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -24,25 +24,27 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Performs a gateway reducer's effects and turns what happens into its
-/// events. No decision is made here.
+/// \brief Connects the gateway reducer to the operating system: carries out
+/// its effects and feeds it events. It makes no decisions itself.
 class GatewayProcess : private TargetSink
 {
 public:
   GatewayProcess(const GatewaySettings& aSettings, const Dialect& aDialect);
   ~GatewayProcess() override;
 
-  /// \brief Reads the disk, opens listeners, takes the first event.
+  /// \brief Recovers state from disk, opens the listeners, and starts the
+  /// reducer.
   [[nodiscard]] Result<bool> Start();
 
-  /// \brief Waits once and takes what happened; false when the end has come.
+  /// \brief Runs one iteration of the event loop; false once the process
+  /// should exit.
   [[nodiscard]] bool RunOnce();
 
-  /// \brief Asks for a planned stop; later calls change nothing.
+  /// \brief Starts a graceful shutdown; later calls have no effect.
   void RequestStop();
 
 private:
-  /// \brief A client's request while it is here.
+  /// \brief A client's request that has not been answered yet.
   struct Exchange
   {
     HttpRequest mRequest;
@@ -51,7 +53,7 @@
     std::uint64_t mAnsweredBy = 0;
   };
 
-  /// \brief Where a read of the policy was sent to.
+  /// \brief The host and request target of a policy read, kept for a redirect.
   struct PolicyReadUrl
   {
     std::string mHost;
@@ -110,18 +112,18 @@
   TargetPool mTargets;
   Metrics mMetrics;
   LoadMonitor mLoadMonitor{ mMetrics };
-  /// Writes that are not known to be on disk, by sequence, and since when.
+  /// Writes that are not yet synced: sequence and start time.
   std::deque<std::pair<std::uint64_t, Micros>> mUnsynced;
   std::unique_ptr<ClientSink> mClientSink;
   std::unique_ptr<CallSink> mCallSink;
   std::unique_ptr<HttpServer> mClientServer;
   std::vector<std::unique_ptr<HttpServer>> mCallServers;
   std::unordered_map<std::uint64_t, Exchange> mExchanges;
-  /// Of reads that have not ended.
+  /// By exchange, for policy reads that are still in progress.
   std::unordered_map<std::uint64_t, PolicyReadUrl> mPolicyReadUrls;
   std::uint64_t mPolicyVersion = 0;
 
-  /// What other threads bring: messages of hosts, ends of writes.
+  /// Results posted by other threads, guarded by mInboxMutex.
   struct Inbox
   {
     std::uint64_t mSynced = 0;
@@ -133,7 +135,7 @@
   fleet::Inbox mPeerInbox;
   std::unique_ptr<DiskWriter> mDisk;
   std::unique_ptr<edge::Peers> mPeers;
-  /// When the thread of messages was last waited for.
+  /// When the loop last yielded to the thread that carries peer messages.
   Micros mYieldedAt = 0;
 };
 
