--- a/src/frontend/dialect.h
+++ b/src/frontend/dialect.h
@@ -10,30 +10,32 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Names of the header fields that hosts, clients and targets share.
+/// \brief Names of the header fields that hosts, clients and targets use.
 struct FieldNames
 {
-  /// Names one attempt of a client; targets repeat it in their answers.
+  /// Identifies one request attempt of a client; targets echo it in answers.
   std::string mRequestId;
-  /// In a successful answer: the target vouches for it. Empty when targets
-  /// have no such field.
+  /// Signature of the target in a successful answer. Empty if targets do not
+  /// sign their answers.
   std::string mSignature;
-  /// Milliseconds that the sender of a request waits.
+  /// Milliseconds that the sender of a request waits for the answer.
   std::string mTimeout;
   /// Id of the only target that may run the request.
   std::string mExpectedTarget;
-  /// In an answer: the target did not run the request.
+  /// In an answer: the target did not execute the request.
   std::string mNotRun;
   /// In an answer: id of the target.
   std::string mTargetId;
-  /// In an answer: running, waiting, slots, and percent of the usual time.
+  /// In an answer: running and waiting requests, slots, and the current
+  /// duration of requests as a percentage of the usual one.
   std::string mLoad;
-  /// In an answer: requests a second that the target takes from all hosts
+  /// In an answer: requests per second that the target accepts from all hosts
   /// together.
   std::string mLimit;
 };
 
-/// \brief Calls that hosts, targets and operators make beside requests.
+/// \brief API calls of hosts, targets and operators, as opposed to client
+/// requests that are forwarded.
 struct RegisterTargetCall
 {
   wire::TargetRecord mRecord;
@@ -56,7 +58,7 @@
 {};
 struct MetricsCall
 {};
-/// \brief Which requests are suspected or quarantined, and why.
+/// \brief Lists suspected and quarantined requests with the evidence.
 struct ListQuarantineCall
 {};
 struct ReleaseRequestCall
@@ -80,16 +82,18 @@
                           ListQuarantineCall,
                           ReleaseRequestCall>;
 
-/// \brief How one deployment's parties speak: names and free functions.
+/// \brief The HTTP conventions of one deployment: field names, the encoding of
+/// calls and responses, and the policy format.
 struct Dialect
 {
   FieldNames mFieldNames;
-  /// Reads a call from a request.
+  /// Parses a request as an API call.
   Call (*mParseCall)(const HttpRequest&) = nullptr;
-  /// The answer to an operation.
+  /// Builds the response to an operation.
   HttpResponse (*mMakeOperationResponse)(const gateway::AnswerOperation&) =
     nullptr;
-  /// The answer to where a service's hosts are.
+  /// Builds the response to a lookup of host addresses; clients may cache it
+  /// for `aTtl`.
   HttpResponse (*mMakeAddressResponse)(const std::vector<std::string>&,
                                        Micros aTtl) = nullptr;
   gateway::PolicyDecoder mDecodePolicy = nullptr;
--- a/src/frontend/native_dialect.cpp
+++ b/src/frontend/native_dialect.cpp
@@ -44,7 +44,7 @@
   return record;
 }
 
-// A target may say which of its incarnations leaves.
+// A target may name the incarnation that leaves by its start time.
 wire::RemoveTarget RemovalOf(const std::string& aId, const std::string& aBody)
 {
   wire::RemoveTarget removal;
--- a/src/frontend/native_dialect.h
+++ b/src/frontend/native_dialect.h
@@ -4,7 +4,7 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief What a gateway speaks by itself; see docs/INTERFACES.md.
+/// \brief The gateway's own HTTP conventions; see docs/INTERFACES.md.
 [[nodiscard]] Dialect NativeDialect();
 
 } // namespace geraniumpond::frontend
--- a/src/frontend/quarantine_calls.h
+++ b/src/frontend/quarantine_calls.h
@@ -6,11 +6,11 @@
 #include <optional>
 #include <string>
 
-/// \brief An operator's view of requests under which targets ended; the same in
-/// every dialect.
+/// \brief Operator calls about requests that crashed targets; the same in every
+/// dialect.
 namespace geraniumpond::frontend {
 
-/// \brief Reads GET /quarantine and DELETE /quarantine/IDENTITY.
+/// \brief Parses GET /quarantine and DELETE /quarantine/IDENTITY.
 [[nodiscard]] std::optional<Call> ParseQuarantineCall(
   const std::string& aMethod,
   const std::string& aPath);
@@ -19,7 +19,7 @@
 [[nodiscard]] std::string QuarantineJson(const quarantine::State& aState,
                                          Micros aNow);
 
-/// \brief Adds how many requests are suspected, and how many quarantined.
+/// \brief Sets the gauges of suspected and of quarantined requests.
 void AddVerdictGauges(const quarantine::State& aState,
                       Micros aNow,
                       std::map<std::string, double>& aGauges);
--- a/src/frontend/request_digest.cpp
+++ b/src/frontend/request_digest.cpp
@@ -10,7 +10,7 @@
   std::uint64_t digest = Hash64(aRequest.mMethod);
   for (const std::string& name : aCallerFields) {
     const std::string* value = FindField(aRequest.mFields, name);
-    // A field that is missing is told apart from one that is empty.
+    // The prefix distinguishes an empty field from a missing one.
     digest = Hash64(value == nullptr ? "" : "=" + *value, digest);
   }
   return Hash64(std::to_string(aRequest.mBodyDigest), digest);
--- a/src/frontend/request_digest.h
+++ b/src/frontend/request_digest.h
@@ -8,9 +8,9 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Digest of what a request holds beside its host name and path: its
-/// method, its body, and the fields that tell who asks. Fields that change with
-/// each try are left out.
+/// \brief Digest of a request's method, its body, and the fields that identify
+/// the caller. Host name, path, and fields that differ between retries are not
+/// included.
 [[nodiscard]] std::uint64_t ContentDigest(
   const HttpRequest& aRequest,
   const std::vector<std::string>& aCallerFields);
