--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Pause before a disk that failed is tried again.
+/// Delay before a failed write is retried.
 constexpr std::chrono::milliseconds kRetryDelay{ 100 };
 
 wire::Persist ToPersist(const consensus::Write& aWrite)
@@ -27,7 +27,8 @@
   return persist;
 }
 
-// Records that are written together lie in one frame, up to a snapshot.
+// Combines the records of consecutive writes into one frame. A write with a
+// snapshot has a frame of its own.
 std::vector<wire::Persist> Merge(const std::vector<consensus::Write>& aBatch)
 {
   std::vector<wire::Persist> merged;
@@ -151,7 +152,7 @@
       mOnError(written.error().mMessage);
     }
     failing = true;
-    // What may have reached the file in part is written anew as a whole.
+    // The batch may have been written in part, so it is rewritten completely.
     const Result<bool> rewound = mLog->Rewind();
     if (!rewound) {
       mOnError(rewound.error().mMessage);
--- a/src/frontend/disk_writer.h
+++ b/src/frontend/disk_writer.h
@@ -17,30 +17,32 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief What a host's disk held, ready for the reducer.
+/// \brief State recovered from a host's disk.
 struct OpenedDisk
 {
   consensus::Recovered mRecovered;
+  /// Bytes of an incomplete record that were removed from the log's tail.
   std::uint64_t mCutBytes = 0;
 };
 
-/// \brief Reads a data folder; makes the disk of a founder or a joiner where
-/// there is none yet.
+/// \brief Recovers the state in a data folder; initializes the folder for a
+/// founding or a joining member if it is empty.
 [[nodiscard]] Result<OpenedDisk> OpenDisk(const std::string& aFolder,
                                           bool aIsFounder,
                                           const wire::Membership& aFounders,
                                           const std::string& aStorage);
 
-/// \brief Writes in a thread of its own, in order.
+/// \brief Writes to disk in order, on a thread of its own.
 ///
-/// A disk that refuses writes is tried again: what it did not take stays
-/// queued, and nothing is said to be on disk before it is.
+/// Failed writes stay queued and are retried. A write is reported as synced
+/// only once it is on disk.
 class DiskWriter
 {
 public:
-  /// \brief Called by the writer's thread with the sequence that is on disk.
+  /// \brief Called on the writer's thread with the last sequence on disk.
   using SyncedCallback = std::function<void(std::uint64_t)>;
-  /// \brief Called by the writer's thread when the disk fails or recovers.
+  /// \brief Called on the writer's thread with the reason when the disk fails,
+  /// and with an empty text when it recovers.
   using ErrorCallback = std::function<void(const std::string&)>;
 
   [[nodiscard]] static Result<std::unique_ptr<DiskWriter>> Open(
--- a/src/frontend/event_loop.cpp
+++ b/src/frontend/event_loop.cpp
@@ -28,7 +28,8 @@
   if (mEpollDescriptor < 0 || mWakeDescriptor < 0 ||
       ::epoll_ctl(mEpollDescriptor, EPOLL_CTL_ADD, mWakeDescriptor, &event) !=
         0) {
-    throw std::runtime_error("event loop: no descriptors");
+    throw std::runtime_error(
+      "event loop: cannot create the epoll or eventfd descriptor");
   }
 }
 
@@ -44,7 +45,8 @@
   event.events = kReadEvents;
   event.data.ptr = &aHandler;
   if (::epoll_ctl(mEpollDescriptor, EPOLL_CTL_ADD, aDescriptor, &event) != 0) {
-    throw std::runtime_error("event loop: cannot watch a descriptor");
+    throw std::runtime_error(
+      "event loop: cannot register a descriptor with epoll");
   }
   mRegistrations[&aHandler] = { aDescriptor, kReadEvents };
 }
@@ -96,7 +98,8 @@
 {
   if (!mWakePending.exchange(true)) {
     const std::uint64_t one = 1;
-    // A full counter has woken the loop already.
+    // The write fails only if the counter is full, which wakes the loop as
+    // well.
     (void)!::write(mWakeDescriptor, &one, sizeof(one));
   }
 }
@@ -128,7 +131,7 @@
                                  static_cast<int>(events.size()),
                                  milliseconds);
   if (count < 0 && errno != EINTR) {
-    throw std::runtime_error("event loop: wait failed");
+    throw std::runtime_error("event loop: epoll_wait failed");
   }
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
--- a/src/frontend/event_loop.h
+++ b/src/frontend/event_loop.h
@@ -12,7 +12,7 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Takes what happens on a descriptor.
+/// \brief Receives the events of a descriptor.
 class Handler
 {
 public:
@@ -21,15 +21,17 @@
   Handler& operator=(const Handler&) = delete;
   virtual ~Handler() = default;
   virtual void OnReadable() = 0;
-  /// \brief The other side has closed its direction; comes before OnReadable().
+  /// \brief The peer has closed its sending direction; called before
+  /// OnReadable().
   virtual void OnPeerClosed() {}
   virtual void OnWritable() = 0;
 };
 
-/// \brief Waits for descriptors, a time, and calls from other threads.
+/// \brief Waits for descriptor events, a timeout, or a wake-up by another
+/// thread.
 ///
-/// POCO's PollSet cannot be woken from another thread in the packaged version,
-/// and returns a map of sockets from every wait.
+/// POCO's PollSet cannot be woken by another thread in the packaged version,
+/// and builds a map of sockets on every wait.
 class EventLoop
 {
 public:
@@ -39,17 +41,17 @@
   EventLoop& operator=(const EventLoop&) = delete;
 
   void Add(int aDescriptor, Handler& aHandler);
-  /// \brief Also waits until the descriptor takes bytes.
+  /// \brief Enables or disables OnWritable().
   void WatchWritable(int aDescriptor, Handler& aHandler, bool aWatch);
-  /// \brief A paused descriptor is not read.
+  /// \brief Disables or enables OnReadable().
   void PauseReading(int aDescriptor, Handler& aHandler, bool aPaused);
   void Remove(int aDescriptor, Handler& aHandler);
 
-  /// \brief Ends a wait of Run(); may be called by any thread.
+  /// \brief Ends a wait of RunOnce(); may be called from any thread.
   void Wake();
 
-  /// \brief Waits once, until `aUntil` at most, and calls handlers; how many
-  /// descriptors were ready.
+  /// \brief Waits once, until `aUntil` at most, and calls the handlers. Returns
+  /// the number of descriptors that were ready.
   std::size_t RunOnce(Micros aNow, Micros aUntil);
 
 private:
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -14,8 +14,7 @@
 /// return the answer.
 constexpr Micros kReturnMargin = 2 * kMillisecond;
 
-// Seconds with a fractional part, which the project's clients accept although
-// RFC 9110 allows whole seconds only.
+// Seconds with a fractional part, which the clients accept.
 std::string RetryAfterText(Micros aTime)
 {
   char text[32];
--- a/src/frontend/http_body.cpp
+++ b/src/frontend/http_body.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-// Bodies by length, in chunks, or to the end of their connection.
+// Reads bodies delimited by length, chunks or the connection's end.
 namespace geraniumpond::frontend {
 
 namespace {
--- a/src/frontend/http_message.cpp
+++ b/src/frontend/http_message.cpp
@@ -39,7 +39,7 @@
   return true;
 }
 
-// A name with a space could be read otherwise by the next hop.
+// The next hop might parse a name that contains a space differently.
 bool IsValidFieldName(const std::string& aName)
 {
   return !aName.empty() &&
@@ -225,7 +225,7 @@
   }
   const ReadStatus body = mBody.Feed(aBuffer, mRequest.mBody);
   if (body == ReadStatus::Malformed) {
-    return Refuse(400, "malformed chunks");
+    return Refuse(400, "malformed chunked body");
   }
   if (mRequest.mBody.size() > aLimits.mMaxBodyBytes) {
     return Refuse(413, "body too large");
@@ -234,7 +234,7 @@
   return body;
 }
 
-// As it comes: a large body that is hashed as a whole would hold up others.
+// Hashes incrementally: hashing a large body at once would block the loop.
 void RequestReader::HashNewBytes()
 {
   const std::string& body = mRequest.mBody;
@@ -336,7 +336,7 @@
     if (mResponse.mStatus >= 200) {
       return mBody.Feed(aBuffer, mResponse.mBody);
     }
-    // Interim answers say nothing about the request's end.
+    // Interim responses are skipped; the final one follows.
     mHaveHead = false;
   }
 }
--- a/src/frontend/http_message.h
+++ b/src/frontend/http_message.h
@@ -14,33 +14,33 @@
 
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-/// \brief True for names that differ in case only.
+/// \brief Compares two names or tokens ignoring ASCII case.
 [[nodiscard]] bool EqualIgnoringCase(std::string_view aLeft,
                                      std::string_view aRight);
 
-/// \brief First value of a field, names compared without case; null if absent.
+/// \brief Value of the first field of a name, ignoring case; null if absent.
 [[nodiscard]] const std::string* FindField(const HeaderFields& aFields,
                                            std::string_view aName);
 
-/// \brief True when a comma-separated field names `aToken`.
+/// \brief True if a comma-separated field contains `aToken`.
 [[nodiscard]] bool HasToken(const HeaderFields& aFields,
                             std::string_view aName,
                             std::string_view aToken);
 
-/// \brief A whole request.
+/// \brief A complete request.
 struct HttpRequest
 {
   std::string mMethod;
-  /// Path and query as they were sent.
+  /// Path and query as received.
   std::string mTarget;
   HeaderFields mFields;
   std::string mBody;
-  /// Of the body.
+  /// Hash64 of the body; 0 if it is empty.
   std::uint64_t mBodyDigest = 0;
   bool mKeepAlive = true;
 };
 
-/// \brief A whole answer.
+/// \brief A complete response.
 struct HttpResponse
 {
   int mStatus = 0;
@@ -49,11 +49,11 @@
   std::string mBody;
   /// The connection can carry another request.
   bool mKeepAlive = true;
-  /// Seconds that the other side keeps the connection open; 0 if unsaid.
+  /// Seconds for which the peer keeps an idle connection open; 0 if not stated.
   int mKeepAliveSeconds = 0;
 };
 
-/// \brief How reading a message went.
+/// \brief Outcome of reading a message.
 enum class ReadStatus
 {
   /// More bytes are needed.
@@ -62,7 +62,7 @@
   Malformed
 };
 
-/// \brief Reads bodies: by length, in chunks, or to the connection's end.
+/// \brief Reads a body delimited by length, chunks or the connection's end.
 class BodyReader
 {
 public:
@@ -76,7 +76,7 @@
 
   void Start(Framing aFraming, std::uint64_t aLength);
 
-  /// \brief Takes what it can from the front of the buffer.
+  /// \brief Moves body bytes from the front of the buffer to the body.
   [[nodiscard]] ReadStatus Feed(std::string& aBuffer, std::string& aBody);
 
   [[nodiscard]] Framing Kind() const noexcept { return mFraming; }
@@ -100,25 +100,25 @@
   ChunkPart mPart = ChunkPart::Size;
 };
 
-/// \brief Reads requests one after the other from one connection's bytes.
+/// \brief Reads successive requests from the bytes of one connection.
 class RequestReader
 {
 public:
-  /// \brief Takes a request from the front of the buffer.
+  /// \brief Consumes a request from the front of the buffer.
   [[nodiscard]] ReadStatus Read(std::string& aBuffer,
                                 const policy::RequestLimits& aLimits);
 
-  /// \brief The request after Complete.
+  /// \brief Returns the request after Read() returned Complete.
   [[nodiscard]] HttpRequest Take();
 
-  /// \brief Status to refuse a malformed request with, and why.
+  /// \brief Status code and reason with which to reject a malformed request.
   [[nodiscard]] int ErrorStatus() const noexcept { return mErrorStatus; }
   [[nodiscard]] const std::string& ErrorReason() const noexcept
   {
     return mErrorReason;
   }
   [[nodiscard]] bool InBody() const noexcept { return mHaveHead; }
-  /// \brief True once when the client waits for an interim answer.
+  /// \brief True if the client waits for 100 Continue; true once per request.
   [[nodiscard]] bool TakeExpectContinue() noexcept;
 
 private:
@@ -130,7 +130,7 @@
 
   HttpRequest mRequest;
   BodyReader mBody;
-  /// Of the part of a body that is here; none without one.
+  /// Hashes the body as it arrives; empty if there is no body.
   std::optional<Hasher> mHasher;
   std::size_t mHashedBytes = 0;
   bool mHaveHead = false;
@@ -139,13 +139,14 @@
   std::string mErrorReason;
 };
 
-/// \brief Reads one answer after the other from one connection's bytes.
+/// \brief Reads successive responses from the bytes of one connection.
 class ResponseReader
 {
 public:
   [[nodiscard]] ReadStatus Read(std::string& aBuffer, bool aHeadOnly);
 
-  /// \brief The connection has ended in order; Complete if that ends a body.
+  /// \brief Handles an orderly end of the connection; Complete if the end
+  /// delimits the body.
   [[nodiscard]] ReadStatus End();
 
   [[nodiscard]] HttpResponse Take();
@@ -159,16 +160,16 @@
   bool mHaveHead = false;
 };
 
-/// \brief True for fields that concern one connection only.
+/// \brief True for hop-by-hop fields, which are not forwarded.
 [[nodiscard]] bool IsHopByHopField(const HeaderFields& aFields,
                                    const std::string& aName);
 
-/// \brief An answer as bytes, with its length.
+/// \brief Serializes a response with its Content-Length.
 [[nodiscard]] std::string Serialize(const HttpResponse& aResponse,
                                     bool aClose,
                                     bool aHeadOnly);
 
-/// \brief An answer of this host's own.
+/// \brief Builds a response of the host itself.
 [[nodiscard]] HttpResponse MakeResponse(int aStatus,
                                         std::string aType,
                                         std::string aBody);
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr int kBacklog = 512;
-/// Connections that are accepted before others have their turn.
+/// Connections accepted in one iteration before other descriptors are served.
 constexpr std::size_t kMaxAcceptsPerRound = 64;
-/// Requests of one connection that are taken side by side.
+/// Requests of one connection that are handled concurrently.
 constexpr std::size_t kMaxPipelined = 16;
-/// Answer bytes that may wait for a slow client before it is read no further.
+/// Unsent answer bytes at which reading from a slow client is paused.
 constexpr std::size_t kMaxUnsent = 4 * 1024 * 1024;
-/// Pace at which connections are looked through for late ones.
+/// How often connections are checked for timeouts.
 constexpr Micros kSweepInterval = 250 * kMillisecond;
-/// How long a closed connection is drained: closing it with unread bytes would
-/// reset it and take the last answer along.
+/// How long input is discarded before a connection is closed: closing a socket
+/// with unread bytes resets the connection, and the last answer would be lost.
 constexpr Micros kLingerTimeout = 1 * kSecond;
 
 } // namespace
@@ -50,9 +50,9 @@
 
   void OnPeerClosed() override { mPeerClosed = true; }
 
-  // A request that came together with the end of its connection is not taken:
-  // its client has given up while it waited here, and a target would work for
-  // nobody.
+  // A request that arrives together with the end of its connection is dropped:
+  // its client gave up while the request waited here, and nobody would receive
+  // the answer of a target.
   void OnReadable() override
   {
     const ReceiveResult received = mSocket.Receive();
@@ -115,7 +115,7 @@
       return;
     }
     if (partial) {
-      RejectMalformed(408, "request not whole in time");
+      RejectMalformed(408, "request incomplete at its timeout");
     } else {
       BeginLingeringClose();
     }
@@ -204,7 +204,7 @@
     ContinueAfterSend();
   }
 
-  // What was sent behind a last answer counts as not read.
+  // Requests behind the last answer of a connection will not be answered.
   void DropPending()
   {
     const std::deque<Pending> dropped = std::exchange(mPending, {});
@@ -280,16 +280,16 @@
   mLoop.Remove(mSocket.impl()->sockfd(), *this);
 }
 
-// All that wait, up to a bound: a busy loop's rounds are long, and clients that
-// wait to be accepted are not seen, while their deadlines pass. Accepted
-// without POCO, which throws when none waits.
+// Accepts all waiting connections up to a bound: iterations of a busy loop are
+// long, and deadlines of clients pass unnoticed in the accept queue. Calls
+// accept() directly because POCO throws when no connection waits.
 void HttpServer::OnReadable()
 {
   for (std::size_t i = 0; i < kMaxAcceptsPerRound; ++i) {
     const int descriptor = ::accept(mSocket.impl()->sockfd(), nullptr, nullptr);
     if (descriptor < 0) {
-      // None is left, it is gone already, or descriptors have run out: the next
-      // call tries again.
+      // No connection is left, it was reset already, or the process is out of
+      // descriptors; the next call tries again.
       return;
     }
     const Poco::Net::StreamSocket socket(
@@ -297,7 +297,7 @@
     try {
       Accept(socket);
     } catch (const Poco::Exception&) {
-      // The client has reset it already.
+      // The client has already reset the connection.
     }
   }
 }
--- a/src/frontend/http_server.h
+++ b/src/frontend/http_server.h
@@ -14,7 +14,7 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Takes what clients of an HttpServer do.
+/// \brief Receives requests and events from the clients of an HttpServer.
 class RequestSink
 {
 public:
@@ -23,16 +23,16 @@
   RequestSink& operator=(const RequestSink&) = delete;
   virtual ~RequestSink() = default;
 
-  /// \brief A request is whole; it is answered by HttpServer::Respond().
+  /// \brief A request is complete. HttpServer::Respond() answers it.
   virtual void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) = 0;
-  /// \brief The client left before its answer was sent.
+  /// \brief The client disconnected before its answer was sent.
   virtual void OnClientDisconnected(std::uint64_t aExchange) = 0;
-  /// \brief A request was refused before it was whole.
+  /// \brief A request was rejected before it was complete.
   virtual void OnMalformed(int aStatus, const std::string& aReason) = 0;
 };
 
-/// \brief HTTP/1.1 for many connections in one event loop: pipelined requests
-/// are taken side by side and answered in order.
+/// \brief An HTTP/1.1 server on an event loop. Pipelined requests are handled
+/// concurrently and answered in order.
 class HttpServer : public Handler
 {
 public:
@@ -41,23 +41,24 @@
 
   void SetLimits(const policy::RequestLimits& aLimits) { mLimits = aLimits; }
 
-  /// \brief Answers an exchange; does nothing when its client has left.
+  /// \brief Answers an exchange; has no effect if its client has disconnected.
   void Respond(std::uint64_t aExchange, const HttpResponse& aResponse);
 
-  /// \brief From now on every answer ends its connection.
+  /// \brief Closes each connection after its next answer from now on.
   void BeginStop() { mStopping = true; }
-  /// \brief Ends connections without a request.
+  /// \brief Closes connections that have no request in progress.
   void CloseIdle();
 
-  /// \brief Ends connections that are idle or late; cheap.
+  /// \brief Closes connections that timed out. Cheap enough for every iteration
+  /// of the loop.
   void Tick(Micros aNow);
 
   [[nodiscard]] std::size_t Connections() const noexcept
   {
     return mConnections.size();
   }
-  /// \brief True while bytes of an answer wait to be sent, or a client has not
-  /// yet taken the end of its connection.
+  /// \brief True while bytes of an answer wait to be sent, or a connection has
+  /// not been closed by its client yet.
   [[nodiscard]] bool HasUnsentAnswers() const;
 
   void OnReadable() override;
@@ -79,12 +80,12 @@
   Micros mSweptAt = 0;
   std::uint64_t mLastConnection = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> mConnections;
-  /// Ended connections, kept until no call on them is left on the stack.
+  /// Closed connections, destroyed once none of their methods is on the stack.
   std::vector<std::unique_ptr<Connection>> mRetired;
   std::unordered_map<std::uint64_t, Connection*> mExchanges;
 };
 
-/// \brief Numbers exchanges; unique over all servers of the process.
+/// \brief Returns a new exchange id, unique across all servers of the process.
 [[nodiscard]] std::uint64_t NextExchangeId() noexcept;
 
 } // namespace geraniumpond::frontend
--- a/src/frontend/load_monitor.cpp
+++ b/src/frontend/load_monitor.cpp
@@ -3,17 +3,18 @@
 #include <algorithm>
 #include <ctime>
 
-// A host that is short of processor looks from outside like one that is cut
-// off: its answers come late. These figures tell the two apart, and which of
-// its threads is behind with what.
+// From outside, a host that lacks processor time looks like one behind a slow
+// network: its answers are late. These figures distinguish the two, and show
+// which thread is behind with which work.
 namespace geraniumpond::frontend {
 
 namespace {
 
-/// Waits that are worth a line: a heartbeat of the control group is late then.
+/// Waits from which on a line is logged: at that delay a heartbeat of the
+/// control group is late.
 constexpr Micros kLogThreshold = 150 * kMillisecond;
 constexpr Micros kMinLogInterval = 500 * kMillisecond;
-/// From a wait of this length on, processor time is told apart by kind of work.
+/// Waits from which on processor time is measured by kind of work.
 constexpr Micros kCpuTimeThreshold = 50 * kMillisecond;
 
 constexpr std::array<const char*, 4> kWaitNames = {
--- a/src/frontend/load_monitor.h
+++ b/src/frontend/load_monitor.h
@@ -13,20 +13,20 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief What something of a process waits for before it is taken.
+/// \brief Where work of a process waits before it is handled.
 enum class WaitKind
 {
-  /// The reducer's next time, and descriptors that are ready.
+  /// Timers of the reducer, and ready descriptors.
   Loop,
-  /// A message of another host, for the reducer.
+  /// Messages of other hosts, until the reducer handles them.
   Inbox,
-  /// A message of this host, for the thread that sends it.
+  /// Messages of this host, until the sending thread handles them.
   Outbox,
-  /// A write, until it is synced.
+  /// Writes, until they are synced.
   Disk,
 };
 
-/// \brief What the loop's thread is busy with.
+/// \brief What the event loop's thread spends time on.
 enum class WorkKind
 {
   Connections,
@@ -38,30 +38,32 @@
   Time,
 };
 
-/// \brief Lower-case names.
+/// \brief Lower-case name, as in metrics and log lines.
 [[nodiscard]] const char* ToString(WaitKind aWait) noexcept;
 [[nodiscard]] const char* ToString(WorkKind aWork) noexcept;
 
-/// \brief How late a process is, and what its loop spends processor time on.
+/// \brief Measures how late a process is, and what its event loop spends
+/// processor time on.
 class LoadMonitor
 {
 public:
   explicit LoadMonitor(Metrics& aMetrics);
 
-  /// \brief Something was taken after it had waited.
+  /// \brief Records how long something waited before it was handled.
   void RecordWait(WaitKind aWait, Micros aTime);
 
-  /// \brief What the thread did since the last call was of this kind.
+  /// \brief Attributes what the thread did since the last call to a kind of
+  /// work.
   void RecordWork(WorkKind aWork, std::uint64_t aItems);
 
-  /// \brief A round of the loop is over.
+  /// \brief Ends an iteration of the event loop.
   void EndIteration();
 
-  /// \brief A line for the log where something waited for too long since the
-  /// last one; a bounded number of them.
+  /// \brief Returns a log line if something waited too long since the last
+  /// line; limited in rate.
   [[nodiscard]] std::optional<std::string> TakeLogLine(Micros aNow);
 
-  /// \brief Adds items and processor time by kind of work.
+  /// \brief Sets the counters of items and processor time by kind of work.
   void Count(dispatch::Counters& aCounters) const;
 
 private:
@@ -77,10 +79,10 @@
 
   std::array<Metrics::Series*, kWaitKinds> mSeries{};
   std::array<Micros, kWaitKinds> mLongest{};
-  /// Processor time is told apart by kind of work.
+  /// Whether processor time is measured by kind of work.
   bool mMeasuresCpuTime = false;
   std::array<WorkTotals, kWorkKinds> mTotals{};
-  /// The same at the last line.
+  /// mTotals at the time of the last log line.
   std::array<WorkTotals, kWorkKinds> mTotalsAtLastLine{};
   Micros mLastCpuTime = 0;
   Micros mLongestWaitOfIteration = 0;
--- a/src/frontend/metrics.cpp
+++ b/src/frontend/metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Buckets from a tenth of a millisecond to half a minute, ten a decade.
+/// Buckets from 0.1 ms to 30 s, ten per decade.
 constexpr unsigned kBuckets = 55;
 constexpr double kMinSeconds = 0.0001;
 constexpr double kMaxSeconds = 30;
--- a/src/frontend/metrics.h
+++ b/src/frontend/metrics.h
@@ -11,7 +11,8 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Latency histograms of one process, in the text form of Prometheus.
+/// \brief Latency histograms of one process, exported in Prometheus text
+/// format.
 class Metrics
 {
 private:
@@ -21,7 +22,7 @@
   using Histogram = decltype(boost::histogram::make_histogram(Axis()));
 
 public:
-  /// \brief One histogram; stays where it is.
+  /// \brief One histogram. References to it stay valid.
   struct Series
   {
     Histogram mHistogram;
@@ -29,17 +30,17 @@
     std::uint64_t mCount = 0;
   };
 
-  /// \brief The histogram `aName{label="aLabel"}`.
+  /// \brief Finds or creates the histogram `aName{kind="aLabel"}`.
   [[nodiscard]] Series& Find(const std::string& aName,
                              const std::string& aLabel);
   static void Observe(Series& aSeries, Micros aDuration);
 
-  /// \brief Adds a duration to the histogram `aName{label="aLabel"}`.
+  /// \brief Adds a duration to the histogram `aName{kind="aLabel"}`.
   void Observe(const std::string& aName,
                const std::string& aLabel,
                Micros aDuration);
 
-  /// \brief Histograms and counters as text.
+  /// \brief Formats counters, gauges and histograms.
   [[nodiscard]] std::string Text(
     const dispatch::Counters& aCounters,
     const std::map<std::string, double>& aGauges) const;
--- a/src/frontend/socket.cpp
+++ b/src/frontend/socket.cpp
@@ -44,7 +44,8 @@
   }
 }
 
-// POCO throws on a reset, which is ordinary here.
+// Calls recv() directly because POCO throws on a connection reset, which is a
+// normal event here.
 ReceiveResult BufferedSocket::Receive()
 {
   std::array<char, kReadBytes> bytes{};
--- a/src/frontend/socket.h
+++ b/src/frontend/socket.h
@@ -8,18 +8,18 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief How a read ended.
+/// \brief Result of a read.
 enum class ReceiveResult
 {
   Data,
   WouldBlock,
-  /// The other side has closed in order.
+  /// The peer has closed the connection in an orderly way.
   End,
   Reset
 };
 
-/// \brief A connected or connecting socket in an event loop, with a buffer of
-/// bytes each way.
+/// \brief A connected or connecting socket on an event loop, with an input and
+/// an output buffer.
 class BufferedSocket
 {
 public:
@@ -28,22 +28,23 @@
   BufferedSocket(const BufferedSocket&) = delete;
   BufferedSocket& operator=(const BufferedSocket&) = delete;
 
-  /// \brief Starts to be called back; does nothing without a descriptor.
+  /// \brief Registers a handler; has no effect without a descriptor.
   void Watch(Handler& aHandler, bool aWritable);
 
-  /// \brief Reads what is there into Input().
+  /// \brief Reads the available bytes into Input().
   [[nodiscard]] ReceiveResult Receive();
 
-  /// \brief Sends, or keeps what the socket does not take; false when broken.
+  /// \brief Sends, and buffers what the socket does not accept; false if the
+  /// connection is broken.
   [[nodiscard]] bool Send(std::string aBytes);
 
-  /// \brief Sends what was kept; false when broken.
+  /// \brief Sends buffered bytes; false if the connection is broken.
   [[nodiscard]] bool Flush();
 
-  /// \brief Error of a connect that has ended; 0 when it succeeded.
+  /// \brief Error code of a finished connect; 0 if it succeeded.
   [[nodiscard]] int ConnectError() const;
 
-  /// \brief Says that no more bytes follow.
+  /// \brief Closes the sending direction.
   void ShutdownSend();
   void PauseReading(bool aPaused);
   void Close();
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -18,21 +18,22 @@
 
 namespace {
 
-/// A connect takes a trip or two; a lost opening packet costs a second, so
-/// that another target is tried before.
+/// A connect takes one or two round trips. A lost SYN is resent after a second
+/// only, so another target is tried before that.
 constexpr Micros kConnectTimeout = 300 * kMillisecond;
-/// A target that leaves a probe unanswered for this long is taken for silent:
-/// well over any trip, well under the shortest deadline.
+/// A target that does not answer a probe in this time counts as unresponsive:
+/// well above any round trip, well below the shortest deadline.
 constexpr Micros kProbeTimeout = 400 * kMillisecond;
-/// A connection on which an answer came this lately is alive.
+/// A connection that received an answer this recently counts as alive.
 constexpr Micros kProvenMaxAge = 100 * kMillisecond;
-/// Idle connections are used up to this share of the time that their target
-/// keeps them, or for this long where it does not say.
+/// Idle connections are reused for this fraction of the keep-alive timeout that
+/// their target states, or for the default timeout if it states none.
 constexpr double kIdleTimeoutFraction = 0.8;
 constexpr Micros kDefaultIdleTimeout = 3 * kSecond;
 constexpr std::size_t kMaxIdlePerTarget = 4;
 constexpr Micros kSweepInterval = 50 * kMillisecond;
-/// Bytes that are not acknowledged within this time end a connection.
+/// TCP_USER_TIMEOUT: a connection ends when sent bytes stay unacknowledged for
+/// this long.
 constexpr int kUserTimeoutMs = 2000;
 constexpr int kStatusOk = 200;
 constexpr int kStatusMisdirected = 421;
@@ -84,7 +85,7 @@
                : dispatch::LimitWord{ Kind::Unreadable, 0 };
 }
 
-/// \brief One connection to one target; carries one exchange at a time.
+/// \brief A connection to one target; carries one exchange at a time.
 class TargetPool::Connection : public Handler
 {
 public:
@@ -156,7 +157,7 @@
     }
     const ReceiveResult received = mSocket.Receive();
     if (mJob == Job::None) {
-      // Bytes that nobody asked for, or the target's end of an idle time.
+      // Either unsolicited bytes, or the target closed an idle connection.
       if (received != ReceiveResult::WouldBlock) {
         End();
       }
@@ -176,7 +177,7 @@
     }
   }
 
-  /// \brief Ends what takes too long.
+  /// \brief Ends a connect, probe or idle time that has timed out.
   void Sweep(Micros aNow)
   {
     if (mConnecting && aNow - mStartedAt > kConnectTimeout) {
@@ -192,7 +193,7 @@
     }
   }
 
-  /// \brief Ends the connection without a report.
+  /// \brief Closes the connection without reporting a result.
   void End()
   {
     if (mSocket.Closed()) {
@@ -223,14 +224,14 @@
   void SendRequestBytes(std::string aBytes)
   {
     const std::size_t size = aBytes.size();
-    const bool valid = mSocket.Send(std::move(aBytes));
+    const bool isOpen = mSocket.Send(std::move(aBytes));
     mSent = mSocket.Unsent() < size;
-    if (!valid) {
+    if (!isOpen) {
       Fail("send_failed");
     }
   }
 
-  // True when the exchange has ended.
+  // Returns true when the exchange has ended.
   bool ReadAnswers()
   {
     while (true) {
@@ -248,8 +249,8 @@
     }
   }
 
-  // An answer that names another request arrived late: it belongs to nobody
-  // here. A connection that has carried one is not used again.
+  // An answer with the id of another request arrived late, for an exchange that
+  // has ended. A connection that carried one is not reused.
   bool AnswersAnotherRequest(const HttpResponse& aResponse) const
   {
     const std::string* id =
@@ -260,9 +261,10 @@
     return id != nullptr && *id != mRequestId;
   }
 
-  // A head that was cut off may look like a short answer; an answer to this
-  // request names it, and a success is isSigned for. A refusal may come from a
-  // target that has not read the request's fields.
+  // A truncated header section may look like a short answer. An answer to this
+  // request therefore has to carry its id, and a success has to be signed. A
+  // rejection may lack the id, as the target may not have read the request's
+  // fields.
   bool IsCompleteAnswer(const HttpResponse& aResponse) const
   {
     if (mJob == Job::Probe) {
@@ -280,7 +282,7 @@
     return named && isSigned;
   }
 
-  // False when the answer was not the one waited for.
+  // Returns false if the answer belongs to another request.
   bool Finish()
   {
     HttpResponse response = mReader.Take();
@@ -360,7 +362,8 @@
     const bool sent = mSent;
     End();
     if (job == Job::Probe) {
-      // An idle connection that had ended says nothing of its target.
+      // A failure on a reused connection does not mean that the target is
+      // down: the target may have closed it while it was idle.
       if (mIsReused) {
         mPool.Open(mTarget, mAddress)->StartProbe(mProbePath);
         return;
@@ -422,7 +425,7 @@
     socket.setNoDelay(true);
     socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
   } catch (const Poco::Exception&) {
-    // The connection below reports the failed connect when it is waited for.
+    // The connection created below reports the failed connect.
   }
   const std::uint64_t id = ++mLastConnection;
   auto connection =
@@ -439,7 +442,7 @@
   if (found == mIdle.end() || found->second.empty()) {
     return nullptr;
   }
-  // The one that was used last is the likeliest to be alive.
+  // The most recently used connection is the most likely to be alive.
   Connection* connection = found->second.back();
   const Micros age = mNow - connection->LastUsedAt();
   if (age > std::min(aMaxAge, connection->IdleTimeout())) {
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -15,7 +15,7 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Takes what happens at targets.
+/// \brief Receives the results of probes and request attempts.
 class TargetSink
 {
 public:
@@ -25,11 +25,12 @@
   virtual ~TargetSink() = default;
 
   virtual void OnProbe(const dispatch::ProbeEnd& aEnd) = 0;
-  /// \brief The response is empty unless the end is a complete answer.
+  /// \brief The response is empty unless the attempt ended with a complete
+  /// answer.
   virtual void OnAttempt(dispatch::AttemptEnd aEnd, HttpResponse aResponse) = 0;
 };
 
-/// \brief One request for one target, ready to be sent.
+/// \brief A serialized request for one target.
 struct OutboundRequest
 {
   std::uint64_t mRequest = 0;
@@ -42,7 +43,8 @@
   bool mProvenConnection = false;
 };
 
-/// \brief Connections to targets, kept by incarnation.
+/// \brief A pool of connections to targets; idle connections are kept per
+/// incarnation of a target.
 class TargetPool
 {
 public:
@@ -53,11 +55,11 @@
 
   void Probe(const dispatch::ProbeTarget& aProbe);
   void Send(OutboundRequest aRequest);
-  /// \brief Closes an attempt's connection; nothing is reported of it.
+  /// \brief Closes an attempt's connection without reporting a result.
   void Cancel(std::uint64_t aAttempt);
 
-  /// \brief Ends probes and connects that take too long, drops old idle
-  /// connections; cheap.
+  /// \brief Ends probes and connects that timed out, and closes expired idle
+  /// connections. Cheap enough for every iteration of the loop.
   void Tick(Micros aNow);
 
   [[nodiscard]] std::size_t Connections() const noexcept
@@ -87,12 +89,12 @@
   std::unordered_map<std::uint64_t, Connection*> mAttempts;
 };
 
-/// \brief What an answer's fields say of its target's limit; more than one such
-/// field, and what is no number from zero up, is unreadable.
+/// \brief Parses the rate limit that a target states in its answer. A repeated
+/// field, or a value other than a finite non-negative number, is unreadable.
 [[nodiscard]] dispatch::LimitWord ParseLimit(const HeaderFields& aFields,
                                              const std::string& aName);
 
-/// \brief Load as written in an answer; nothing when it is not sound.
+/// \brief Parses the load field of an answer; empty if it is invalid.
 [[nodiscard]] std::optional<dispatch::Report> ParseLoad(
   const std::string& aText);
 
