--- a/src/cli/quarantine.cpp
+++ b/src/cli/quarantine.cpp
@@ -36,20 +36,22 @@
 
 ExitCode RunQuarantine(const Arguments& aArguments)
 {
-  const std::vector<std::string>& words = aArguments.mOperands;
-  const bool list = words.size() == 1 && words[0] == "list";
-  const bool release = words.size() == 2 && words[0] == "release";
+  const std::vector<std::string>& operands = aArguments.mOperands;
+  const bool list = operands.size() == 1 && operands[0] == "list";
+  const bool release = operands.size() == 2 && operands[0] == "release";
   if (!list && !release) {
-    std::cerr << "geraniumpond: quarantine list, or release IDENTITY\n";
+    std::cerr << "geraniumpond: usage: quarantine list, or quarantine release "
+                 "IDENTITY\n";
     return ExitCode::Usage;
   }
   const std::vector<std::string> hosts = HostsOf(aArguments);
   if (hosts.empty()) {
     return ExitCode::Usage;
   }
-  return list ? List(aArguments, hosts[0])
-              : Finish(CallAdmin(
-                  aArguments, hosts[0], "DELETE", "/quarantine/" + words[1]));
+  return list
+           ? List(aArguments, hosts[0])
+           : Finish(CallAdmin(
+               aArguments, hosts[0], "DELETE", "/quarantine/" + operands[1]));
 }
 
 } // namespace geraniumpond::cli
--- a/src/frontend/load_monitor.cpp
+++ b/src/frontend/load_monitor.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <ctime>
 
-// From outside, a host that lacks processor time looks like one behind a slow
-// network: its answers are late. These figures distinguish the two, and show
-// which thread is behind with which work.
+// From outside, a host that lacks processor time looks like one that is cut off
+// from the network: its answers are late. These figures distinguish the two,
+// and show which thread is behind with which work.
 namespace geraniumpond::frontend {
 
 namespace {
@@ -73,8 +73,8 @@
   }
 }
 
-// To read the processor's clock is a system call, which many small messages
-// would pay for each; so it is read while the process is late.
+// Reading the thread's processor clock is a system call, too expensive for
+// every small message; it is therefore read only while the process is late.
 void LoadMonitor::EndIteration()
 {
   const bool isLate = mLongestWaitOfIteration >= kCpuTimeThreshold;
