--- a/include/geraniumpond/gateway_settings.h
+++ b/include/geraniumpond/gateway_settings.h
@@ -8,30 +8,36 @@
 
 namespace geraniumpond {
 
-/// \brief What one gateway process reads at its start; see docs/OPERATIONS.md.
+/// \brief Settings of a gateway process, read at startup; see
+/// docs/OPERATIONS.md.
 struct GatewaySettings
 {
   std::string mId;
   std::string mDataCentre;
-  /// Empty on a host without a disk; a host with one votes.
+  /// Folder of the consensus log. A host that has one is a voter; empty on
+  /// other hosts.
   std::string mDataFolder;
 
+  /// Where clients send requests.
   std::string mCallerAddress;
-  /// Where targets, operators and directory clients call; may repeat.
+  /// Where targets, operators and directory clients make API calls.
   std::vector<std::string> mCallAddresses;
+  /// Where other hosts connect.
   std::string mPeerAddress;
-  /// Bound in its place where connections to it are forwarded; may be empty.
+  /// Bound instead of mPeerAddress if connections to that address are
+  /// forwarded; may be empty.
   std::string mPeerBindAddress;
   std::string mMetricsAddress;
 
-  /// Addresses of a few hosts that vote. Hosts listen for each other at one
-  /// port, so that only the IP counts.
+  /// Addresses of some of the voters. All hosts use the same peer port, so only
+  /// the IPs matter.
   std::vector<std::string> mSeeds;
-  /// True when the whole fleet starts for the first time, with empty disks.
+  /// True if the whole fleet starts for the first time, with empty disks.
   bool mFounding = false;
+  /// Number of simultaneous host losses to survive.
   int mToleratedLosses = 0;
 
-  /// Speed of the host's own link, in megabits a second.
+  /// Bandwidth of the host's network link, in megabits per second.
   double mLinkMbps = 0;
 
   Micros mAnswerKeep = 0;
@@ -41,19 +47,19 @@
   Micros mExtraWindow = 0;
   double mProbesPerTarget = 0;
 
-  /// Fields of a request that tell who asks.
+  /// Header fields of a request that identify the caller.
   std::vector<std::string> mCallerFields;
 
   std::string mLogFormat;
   std::string mLogLevel;
 };
 
-/// \brief Checks the text of a gateway's settings file.
+/// \brief Parses and validates the text of a gateway's settings file.
 [[nodiscard]] Checked<GatewaySettings> ParseGatewaySettings(
   std::string_view aText,
   const std::string& aFile);
 
-/// \brief Peer addresses of the seeds: their IPs at the own peer port.
+/// \brief Peer addresses of the seeds: their IPs with this host's peer port.
 [[nodiscard]] std::vector<std::string> SeedPeerAddresses(
   const GatewaySettings& aSettings);
 
--- a/include/geraniumpond/policy_file.h
+++ b/include/geraniumpond/policy_file.h
@@ -8,11 +8,12 @@
 
 namespace geraniumpond::policy {
 
-/// \brief Checks the text of a policy file (INI) and reports every fault.
+/// \brief Parses and validates the text of a policy file (INI); reports all
+/// faults.
 [[nodiscard]] Checked<TrafficPolicy> ParsePolicy(std::string_view aText,
                                                  const std::string& aFile);
 
-/// \brief The same with the faults in one error.
+/// \brief Like ParsePolicy(), with all faults joined in one error.
 [[nodiscard]] Result<TrafficPolicy> DecodePolicyFile(std::string_view aText);
 
 } // namespace geraniumpond::policy
--- a/src/config/gateway_settings.cpp
+++ b/src/config/gateway_settings.cpp
@@ -105,7 +105,8 @@
                                               const std::string& aFile)
 {
   Checked<GatewaySettings> result;
-  // Sections that are left out have their defaults, and miss required keys.
+  // Adds missing sections, so that defaults apply and missing required keys are
+  // reported.
   std::string text(aText);
   for (const char* name :
        { "host", "listen", "fleet", "bounds", "requests", "log" }) {
--- a/src/config/policy_file.cpp
+++ b/src/config/policy_file.cpp
@@ -110,7 +110,7 @@
   }
   if (result.Ok()) {
     for (const std::string& fault : FaultsOf(result.mValue)) {
-      result.mFaults.push_back({ aFile, 0, "policy", fault, "a sound policy" });
+      result.mFaults.push_back({ aFile, 0, "policy", fault, "a valid policy" });
     }
   }
   return result;
