--- a/include/geraniumpond/gateway_settings.h
+++ b/include/geraniumpond/gateway_settings.h
@@ -34,17 +34,22 @@
   std::vector<std::string> mSeeds;
   /// True if the whole fleet starts for the first time, with empty disks.
   bool mFounding = false;
-  /// Number of simultaneous host losses to survive.
+  /// Disks that may be lost at once without losing acknowledged changes.
   int mToleratedLosses = 0;
 
   /// Bandwidth of the host's network link, in megabits per second.
   double mLinkMbps = 0;
 
+  /// How long clients may cache the addresses that a lookup returns.
   Micros mAnswerKeep = 0;
+  /// Time from the request to stop until the process must have exited.
   Micros mStopGrace = 0;
+  /// Retries and hedges allowed per service and window: a ratio of its requests
+  /// plus a fixed number.
   double mExtraRatio = 0;
   double mExtraFloor = 0;
   Micros mExtraWindow = 0;
+  /// Probes per target and second.
   double mProbesPerTarget = 0;
 
   /// Header fields of a request that identify the caller.
--- a/tests/gateway_stop_test.cpp
+++ b/tests/gateway_stop_test.cpp
@@ -49,7 +49,7 @@
                                 "attempts = 1\n"
                                 "backends = s:1\n";
 
-/// \brief Answers its health path, and everything else with a large body.
+/// \brief Answers health checks, and all other requests with a large body.
 class LargeAnswers : public net::HTTPRequestHandler
 {
 public:
@@ -98,8 +98,8 @@
 
 } // namespace
 
-/// \brief A gateway host on loopback with one target, and a client that reads
-/// slowly while the host stops.
+/// \brief Tests the graceful shutdown of a gateway host on loopback with one
+/// target and a slow client.
 class GatewayStopTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayStopTest);
@@ -133,7 +133,8 @@
       new LargeAnswersFactory, net::ServerSocket(0), new net::HTTPServerParams);
     target.start();
     std::thread host([this] { Run(); });
-    // A check that fails must say so: an unjoined thread ends the process.
+    // Joins the thread also when an assertion fails: destroying a joinable
+    // thread would terminate the process and hide the failure.
     const std::shared_ptr<void> joins(nullptr, [&](void*) {
       mStop = true;
       if (host.joinable()) {
@@ -161,7 +162,7 @@
     }
   }
 
-  // The host takes calls once its group of one has elected itself.
+  // The host accepts calls once its single-member group has elected a leader.
   void Announce(const std::string& aTarget) const
   {
     const std::string& host = mSettings.mCallAddresses.front();
@@ -182,14 +183,15 @@
           return true;
         }
       } catch (const Poco::Exception&) {
-        // It does not listen yet.
+        // The host does not listen yet.
       }
       std::this_thread::sleep_for(milliseconds(20));
     }
     return false;
   }
 
-  // Reads for two seconds, so that the host would be idle long before the end.
+  // Reads for at least two seconds, so that the host has sent its answer to the
+  // socket and has nothing else to do long before the client has read it.
   std::size_t ReadSlowly()
   {
     const net::SocketAddress address(mSettings.mCallerAddress);
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -19,10 +19,10 @@
 namespace net = Poco::Net;
 
 constexpr int kClients = 60;
-/// A connection is accepted in one round of the loop and read in the next.
+/// A connection is accepted in one iteration of the loop and read in the next.
 constexpr int kRounds = 3;
 
-/// \brief Counts what clients do.
+/// \brief Counts requests, disconnects and malformed requests.
 class CountingSink : public RequestSink
 {
 public:
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/// \brief A server whose loop comes late to what clients have done.
+/// \brief Tests a server whose event loop is late in handling its clients.
 class HttpServerTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HttpServerTest);
@@ -47,12 +47,11 @@
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // While a host is busy each round of its loop takes long. It accepted one
-  // connection a round, so that clients waited in the queue of the socket for
-  // as many rounds as there were of them, unseen, while their deadlines passed.
-  // A host that took twenty times as many requests as others after a loss of
-  // power logged `client_left` with took_ms of 1 to 20 for clients that give up
-  // after a second at the soonest: the rest of that second was the queue.
+  // Guards against accepting one connection per iteration of the loop. With the
+  // long iterations of a busy host, clients then wait in the accept queue while
+  // their deadlines pass. A host that received twenty times the usual requests
+  // after a power loss logged `client_left` with took_ms of 1 to 20 for clients
+  // that wait at least a second: they had spent the rest in the accept queue.
   void WaitingConnectionsAreAcceptedTogether()
   {
     SendRequests(kClients);
@@ -60,10 +59,10 @@
     CPPUNIT_ASSERT_EQUAL(kClients, mSink.mRequests);
   }
 
-  // A client that gave up while its request waited has closed its connection.
-  // The request was taken all the same, and passed on before the close was
-  // seen a round later: lines `client_left` a few milliseconds after the
-  // request's arrival, some with sent=1.
+  // Guards against handling a request whose client has given up and closed its
+  // connection while the request waited. The request used to be forwarded
+  // before the close was noticed one iteration later: `client_left` was logged
+  // a few milliseconds after the request's arrival, sometimes with sent=1.
   void RequestOfDisconnectedClientIsDropped()
   {
     SendRequests(kClients);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -143,7 +143,7 @@
       CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Partial);
       CPPUNIT_ASSERT_MESSAGE(text, reader.End() == ReadStatus::Malformed);
     }
-    // Only a body without a length ends with its connection.
+    // Only a body without a length is delimited by the connection's end.
     ResponseReader reader;
     std::string buffer = "HTTP/1.1 200 OK\r\n\r\nbody";
     CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Partial);
--- a/tests/load_monitor_test.cpp
+++ b/tests/load_monitor_test.cpp
@@ -4,7 +4,7 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief A process that tells how late it is.
+/// \brief Tests the log lines and counters of a late process.
 class LoadMonitorTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(LoadMonitorTest);
@@ -53,7 +53,7 @@
   }
 
 private:
-  // Processor time that one round of work on replies is charged with.
+  // Processor time attributed to replies in one iteration of the loop.
   std::uint64_t CpuTimeOfIteration(Micros aWait)
   {
     dispatch::Counters before;
