--- a/src/frontend/native_dialect.cpp
+++ b/src/frontend/native_dialect.cpp
@@ -26,7 +26,8 @@
   return text.str();
 }
 
-wire::TargetRecord RecordOf(const std::string& aId, const std::string& aBody)
+wire::TargetRecord ParseTargetRecord(const std::string& aId,
+                                     const std::string& aBody)
 {
   Poco::JSON::Parser parser;
   const Object::Ptr body = parser.parse(aBody).extract<Object::Ptr>();
@@ -45,7 +46,8 @@
 }
 
 // A target may name the incarnation that leaves by its start time.
-wire::RemoveTarget RemovalOf(const std::string& aId, const std::string& aBody)
+wire::RemoveTarget ParseRemoval(const std::string& aId,
+                                const std::string& aBody)
 {
   wire::RemoveTarget removal;
   removal.set_id(aId);
@@ -60,10 +62,10 @@
 Call ParseTargetCall(const HttpRequest& aRequest, const std::string& aId)
 {
   if (aRequest.mMethod == "PUT") {
-    return RegisterTargetCall{ RecordOf(aId, aRequest.mBody) };
+    return RegisterTargetCall{ ParseTargetRecord(aId, aRequest.mBody) };
   }
   if (aRequest.mMethod == "DELETE") {
-    return RemoveTargetCall{ RemovalOf(aId, aRequest.mBody) };
+    return RemoveTargetCall{ ParseRemoval(aId, aRequest.mBody) };
   }
   return InvalidCall{ 405, "targets support PUT and DELETE" };
 }
