--- a/src/frontend/http_message.cpp
+++ b/src/frontend/http_message.cpp
@@ -133,7 +133,7 @@
 
 // ------------------------------------------------------------- RequestReader
 
-ReadStatus RequestReader::Refuse(int aStatus, std::string aReason)
+ReadStatus RequestReader::Reject(int aStatus, std::string aReason)
 {
   mErrorStatus = aStatus;
   mErrorReason = std::move(aReason);
@@ -149,7 +149,7 @@
     const std::string& encoding = *FindField(fields, "Transfer-Encoding");
     if (encodings > 1 || lengths > 0 ||
         !EqualIgnoringCase(encoding, "chunked")) {
-      return Refuse(400, "ambiguous framing");
+      return Reject(400, "ambiguous framing");
     }
     mBody.Start(BodyReader::Framing::Chunked, 0);
     return ReadStatus::Complete;
@@ -161,10 +161,10 @@
   std::uint64_t length = 0;
   if (lengths > 1 ||
       !ParseLength(*FindField(fields, "Content-Length"), length)) {
-    return Refuse(400, "ambiguous framing");
+    return Reject(400, "ambiguous framing");
   }
   if (length > aLimits.mMaxBodyBytes) {
-    return Refuse(413, "body too large");
+    return Reject(413, "body too large");
   }
   mBody.Start(BodyReader::Framing::Length, length);
   return ReadStatus::Complete;
@@ -180,11 +180,11 @@
   const std::size_t end = aBuffer.find(kHeadEnd);
   if (end == std::string::npos) {
     return aBuffer.size() > aLimits.mMaxHeaderBytes
-             ? Refuse(431, "header too large")
+             ? Reject(431, "header too large")
              : ReadStatus::Partial;
   }
   if (end > aLimits.mMaxHeaderBytes) {
-    return Refuse(431, "header too large");
+    return Reject(431, "header too large");
   }
   Poco::Net::HTTPRequest parsed;
   try {
@@ -192,7 +192,7 @@
       aBuffer.data(), static_cast<std::streamsize>(end + kHeadEnd.size()));
     parsed.read(stream);
   } catch (const Poco::Exception& error) {
-    return Refuse(400, error.displayText());
+    return Reject(400, error.displayText());
   }
   aBuffer.erase(0, end + kHeadEnd.size());
   mRequest = HttpRequest();
@@ -207,7 +207,7 @@
     });
   if (!valid || mRequest.mTarget.empty() || mRequest.mTarget[0] != '/' ||
       CountFields(mRequest.mFields, "Host") != 1) {
-    return Refuse(400, "malformed request");
+    return Reject(400, "malformed request");
   }
   mHaveHead = true;
   mExpectsContinue = HasToken(mRequest.mFields, "Expect", "100-continue");
@@ -225,10 +225,10 @@
   }
   const ReadStatus body = mBody.Feed(aBuffer, mRequest.mBody);
   if (body == ReadStatus::Malformed) {
-    return Refuse(400, "malformed chunked body");
+    return Reject(400, "malformed chunked body");
   }
   if (mRequest.mBody.size() > aLimits.mMaxBodyBytes) {
-    return Refuse(413, "body too large");
+    return Reject(413, "body too large");
   }
   HashNewBytes();
   return body;
@@ -341,7 +341,7 @@
   }
 }
 
-ReadStatus ResponseReader::End()
+ReadStatus ResponseReader::OnConnectionEnd()
 {
   return mHaveHead && mBody.Kind() == BodyReader::Framing::UntilClose
            ? ReadStatus::Complete
--- a/src/frontend/http_message.h
+++ b/src/frontend/http_message.h
@@ -122,7 +122,7 @@
   [[nodiscard]] bool TakeExpectContinue() noexcept;
 
 private:
-  ReadStatus Refuse(int aStatus, std::string aReason);
+  ReadStatus Reject(int aStatus, std::string aReason);
   [[nodiscard]] ReadStatus ReadHead(std::string& aBuffer,
                                     const policy::RequestLimits& aLimits);
   [[nodiscard]] ReadStatus StartBody(const policy::RequestLimits& aLimits);
@@ -147,7 +147,7 @@
 
   /// \brief Handles an orderly end of the connection; Complete if the end
   /// delimits the body.
-  [[nodiscard]] ReadStatus End();
+  [[nodiscard]] ReadStatus OnConnectionEnd();
 
   [[nodiscard]] HttpResponse Take();
   [[nodiscard]] bool Started() const noexcept { return mHaveHead; }
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -167,7 +167,7 @@
       return;
     }
     if (received == ReceiveResult::End) {
-      if (mReader.End() == ReadStatus::Complete) {
+      if (mReader.OnConnectionEnd() == ReadStatus::Complete) {
         Finish();
       } else {
         Fail("closed_early");
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -141,13 +141,14 @@
       ResponseReader reader;
       std::string buffer = text;
       CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Partial);
-      CPPUNIT_ASSERT_MESSAGE(text, reader.End() == ReadStatus::Malformed);
+      CPPUNIT_ASSERT_MESSAGE(text,
+                             reader.OnConnectionEnd() == ReadStatus::Malformed);
     }
     // Only a body without a length is delimited by the connection's end.
     ResponseReader reader;
     std::string buffer = "HTTP/1.1 200 OK\r\n\r\nbody";
     CPPUNIT_ASSERT(reader.Read(buffer, false) == ReadStatus::Partial);
-    CPPUNIT_ASSERT(reader.End() == ReadStatus::Complete);
+    CPPUNIT_ASSERT(reader.OnConnectionEnd() == ReadStatus::Complete);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), reader.Take().mBody);
   }
 
