--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -59,7 +59,7 @@
     if (mLingering) {
       mSocket.Input().clear();
       if (received == ReceiveResult::End || received == ReceiveResult::Reset) {
-        End();
+        Close();
       }
       return;
     }
@@ -68,7 +68,7 @@
     }
     if (received == ReceiveResult::Reset || received == ReceiveResult::End ||
         mPeerClosed) {
-      End();
+      Close();
       return;
     }
     ReadRequests();
@@ -77,7 +77,7 @@
   void OnWritable() override
   {
     if (!mSocket.Flush()) {
-      End();
+      Close();
       return;
     }
     ContinueAfterSend();
@@ -97,12 +97,12 @@
     SendAnswered();
   }
 
-  void Sweep(Micros aNow)
+  void CheckTimeouts(Micros aNow)
   {
     const policy::RequestLimits& limits = mServer.mLimits;
     if (mLingering) {
       if (aNow - mLastActivityAt > kLingerTimeout) {
-        End();
+        Close();
       }
       return;
     }
@@ -192,7 +192,7 @@
       mServer.mExchanges.erase(pending.mExchange);
       mLastActivityAt = mServer.mNow;
       if (!mSocket.Send(std::move(pending.mBytes))) {
-        End();
+        Close();
         return;
       }
       if (pending.mClose) {
@@ -240,7 +240,7 @@
     mSocket.ShutdownSend();
   }
 
-  void End()
+  void Close()
   {
     if (mSocket.Closed()) {
       return;
@@ -360,7 +360,7 @@
     all.push_back(connection.get());
   }
   for (Connection* connection : all) {
-    connection->Sweep(aNow);
+    connection->CheckTimeouts(aNow);
   }
 }
 
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -159,7 +159,7 @@
     if (mJob == Job::None) {
       // Either unsolicited bytes, or the target closed an idle connection.
       if (received != ReceiveResult::WouldBlock) {
-        End();
+        Close();
       }
       return;
     }
@@ -178,7 +178,7 @@
   }
 
   /// \brief Ends a connect, probe or idle time that has timed out.
-  void Sweep(Micros aNow)
+  void CheckTimeouts(Micros aNow)
   {
     if (mConnecting && aNow - mStartedAt > kConnectTimeout) {
       Fail("connect_timeout");
@@ -189,12 +189,12 @@
       return;
     }
     if (mJob == Job::None && aNow - mLastUsedAt > mIdleTimeout) {
-      End();
+      Close();
     }
   }
 
   /// \brief Closes the connection without reporting a result.
-  void End()
+  void Close()
   {
     if (mSocket.Closed()) {
       return;
@@ -309,7 +309,7 @@
     if (reusable) {
       mPool.ReturnToIdle(*this);
     } else {
-      End();
+      Close();
     }
     Report(job, std::move(response));
     return true;
@@ -360,7 +360,7 @@
       mPool.mAttempts.erase(mAttempt);
     }
     const bool sent = mSent;
-    End();
+    Close();
     if (job == Job::Probe) {
       // A failure on a reused connection does not mean that the target is
       // down: the target may have closed it while it was idle.
@@ -480,7 +480,7 @@
   if (found != mAttempts.end()) {
     Connection* connection = found->second;
     mAttempts.erase(found);
-    connection->End();
+    connection->Close();
   }
 }
 
@@ -488,7 +488,7 @@
 {
   std::vector<Connection*>& idle = mIdle[aConnection.Target()];
   if (idle.size() >= kMaxIdlePerTarget) {
-    idle.front()->End();
+    idle.front()->Close();
   }
   mIdle[aConnection.Target()].push_back(&aConnection);
 }
@@ -525,7 +525,7 @@
   }
   for (Connection* connection : all) {
     if (mConnections.count(connection->Id()) != 0) {
-      connection->Sweep(aNow);
+      connection->CheckTimeouts(aNow);
     }
   }
 }
