--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -20,7 +20,7 @@
 /// Unsent answer bytes at which reading from a slow client is paused.
 constexpr std::size_t kMaxUnsent = 4 * 1024 * 1024;
 /// How often connections are checked for timeouts.
-constexpr Micros kSweepInterval = 250 * kMillisecond;
+constexpr Micros kTimeoutCheckInterval = 250 * kMillisecond;
 /// How long input is discarded before a connection is closed: closing a socket
 /// with unread bytes resets the connection, and the last answer would be lost.
 constexpr Micros kLingerTimeout = 1 * kSecond;
@@ -307,7 +307,7 @@
   Poco::Net::StreamSocket socket(aSocket);
   socket.setBlocking(false);
   socket.setNoDelay(true);
-  const std::uint64_t id = ++mLastConnection;
+  const std::uint64_t id = ++mLastConnectionId;
   mConnections[id] = std::make_unique<Connection>(*this, id, socket);
 }
 
@@ -315,7 +315,7 @@
 {
   const auto found = mConnections.find(aConnection.Id());
   if (found != mConnections.end()) {
-    mRetired.push_back(std::move(found->second));
+    mClosedConnections.push_back(std::move(found->second));
     mConnections.erase(found);
   }
 }
@@ -350,11 +350,11 @@
 void HttpServer::Tick(Micros aNow)
 {
   mNow = aNow;
-  mRetired.clear();
-  if (aNow < mSweptAt + kSweepInterval) {
+  mClosedConnections.clear();
+  if (aNow < mTimeoutsCheckedAt + kTimeoutCheckInterval) {
     return;
   }
-  mSweptAt = aNow;
+  mTimeoutsCheckedAt = aNow;
   std::vector<Connection*> all;
   for (const auto& [id, connection] : mConnections) {
     all.push_back(connection.get());
--- a/src/frontend/http_server.h
+++ b/src/frontend/http_server.h
@@ -77,11 +77,11 @@
   policy::RequestLimits mLimits;
   bool mStopping = false;
   Micros mNow = 0;
-  Micros mSweptAt = 0;
-  std::uint64_t mLastConnection = 0;
+  Micros mTimeoutsCheckedAt = 0;
+  std::uint64_t mLastConnectionId = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> mConnections;
   /// Closed connections, destroyed once none of their methods is on the stack.
-  std::vector<std::unique_ptr<Connection>> mRetired;
+  std::vector<std::unique_ptr<Connection>> mClosedConnections;
   std::unordered_map<std::uint64_t, Connection*> mExchanges;
 };
 
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -31,7 +31,7 @@
 constexpr double kIdleTimeoutFraction = 0.8;
 constexpr Micros kDefaultIdleTimeout = 3 * kSecond;
 constexpr std::size_t kMaxIdlePerTarget = 4;
-constexpr Micros kSweepInterval = 50 * kMillisecond;
+constexpr Micros kTimeoutCheckInterval = 50 * kMillisecond;
 /// TCP_USER_TIMEOUT: a connection ends when sent bytes stay unacknowledged for
 /// this long.
 constexpr int kUserTimeoutMs = 2000;
@@ -427,7 +427,7 @@
   } catch (const Poco::Exception&) {
     // The connection created below reports the failed connect.
   }
-  const std::uint64_t id = ++mLastConnection;
+  const std::uint64_t id = ++mLastConnectionId;
   auto connection =
     std::make_unique<Connection>(*this, id, aTarget, aAddress, socket);
   Connection* raw = connection.get();
@@ -505,7 +505,7 @@
   }
   const auto found = mConnections.find(aConnection.Id());
   if (found != mConnections.end()) {
-    mRetired.push_back(std::move(found->second));
+    mClosedConnections.push_back(std::move(found->second));
     mConnections.erase(found);
   }
 }
@@ -513,11 +513,11 @@
 void TargetPool::Tick(Micros aNow)
 {
   mNow = aNow;
-  mRetired.clear();
-  if (aNow < mSweptAt + kSweepInterval) {
+  mClosedConnections.clear();
+  if (aNow < mTimeoutsCheckedAt + kTimeoutCheckInterval) {
     return;
   }
-  mSweptAt = aNow;
+  mTimeoutsCheckedAt = aNow;
   std::vector<Connection*> all;
   all.reserve(mConnections.size());
   for (const auto& [id, connection] : mConnections) {
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -81,10 +81,10 @@
   FieldNames mNames;
   TargetSink& mSink;
   Micros mNow = 0;
-  Micros mSweptAt = 0;
-  std::uint64_t mLastConnection = 0;
+  Micros mTimeoutsCheckedAt = 0;
+  std::uint64_t mLastConnectionId = 0;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> mConnections;
-  std::vector<std::unique_ptr<Connection>> mRetired;
+  std::vector<std::unique_ptr<Connection>> mClosedConnections;
   std::map<std::string, std::vector<Connection*>> mIdle;
   std::unordered_map<std::uint64_t, Connection*> mAttempts;
 };
