--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -294,13 +294,13 @@
   }
 }
 
-void GatewayProcess::OnProbe(const dispatch::ProbeEnd& aEnd)
+void GatewayProcess::OnProbeResult(const dispatch::ProbeEnd& aEnd)
 {
   Post(aEnd);
 }
 
-void GatewayProcess::OnAttempt(dispatch::AttemptEnd aEnd,
-                               HttpResponse aResponse)
+void GatewayProcess::OnAttemptResult(dispatch::AttemptEnd aEnd,
+                                     HttpResponse aResponse)
 {
   const auto found = mExchanges.find(aEnd.mRequest);
   if (found != mExchanges.end() && aEnd.mKind == dispatch::EndKind::Answered) {
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -63,8 +63,9 @@
   class ClientSink;
   class CallSink;
 
-  void OnProbe(const dispatch::ProbeEnd& aEnd) override;
-  void OnAttempt(dispatch::AttemptEnd aEnd, HttpResponse aResponse) override;
+  void OnProbeResult(const dispatch::ProbeEnd& aEnd) override;
+  void OnAttemptResult(dispatch::AttemptEnd aEnd,
+                       HttpResponse aResponse) override;
 
   template<class Body>
   void Post(Body aBody);
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -333,7 +333,7 @@
       end.mAnsweredBy = answeredBy == nullptr ? "" : *answeredBy;
       end.mReport = report;
       end.mLimit = ParseLimit(aResponse.mFields, names.mLimit);
-      mPool.mSink.OnProbe(end);
+      mPool.mSink.OnProbeResult(end);
       return;
     }
     dispatch::AttemptEnd end;
@@ -350,7 +350,7 @@
     if (end.mNotRun) {
       end.mReason = end.mMisdirected ? "address_taken" : "target_refused";
     }
-    mPool.mSink.OnAttempt(std::move(end), std::move(aResponse));
+    mPool.mSink.OnAttemptResult(std::move(end), std::move(aResponse));
   }
 
   void Fail(const char* aReason, bool aRefused = false)
@@ -371,7 +371,7 @@
       dispatch::ProbeEnd end;
       end.mTarget = mTarget;
       end.mRefused = aRefused;
-      mPool.mSink.OnProbe(end);
+      mPool.mSink.OnProbeResult(end);
     } else if (job == Job::Attempt) {
       dispatch::AttemptEnd end;
       end.mRequest = mRequest;
@@ -379,7 +379,7 @@
       end.mKind = sent ? dispatch::EndKind::Broken : dispatch::EndKind::NotSent;
       end.mRefused = aRefused;
       end.mReason = aReason;
-      mPool.mSink.OnAttempt(std::move(end), HttpResponse());
+      mPool.mSink.OnAttemptResult(std::move(end), HttpResponse());
     }
   }
 
--- a/src/frontend/target_pool.h
+++ b/src/frontend/target_pool.h
@@ -24,10 +24,11 @@
   TargetSink& operator=(const TargetSink&) = delete;
   virtual ~TargetSink() = default;
 
-  virtual void OnProbe(const dispatch::ProbeEnd& aEnd) = 0;
+  virtual void OnProbeResult(const dispatch::ProbeEnd& aEnd) = 0;
   /// \brief The response is empty unless the attempt ended with a complete
   /// answer.
-  virtual void OnAttempt(dispatch::AttemptEnd aEnd, HttpResponse aResponse) = 0;
+  virtual void OnAttemptResult(dispatch::AttemptEnd aEnd,
+                               HttpResponse aResponse) = 0;
 };
 
 /// \brief A serialized request for one target.
