--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -225,7 +225,7 @@
   {
     const std::size_t size = aBytes.size();
     const bool isOpen = mSocket.Send(std::move(aBytes));
-    mSent = mSocket.Unsent() < size;
+    mHasSentBytes = mSocket.Unsent() < size;
     if (!isOpen) {
       Fail("send_failed");
     }
@@ -359,7 +359,7 @@
     if (job == Job::Attempt) {
       mPool.mAttempts.erase(mAttempt);
     }
-    const bool sent = mSent;
+    const bool hasSentBytes = mHasSentBytes;
     Close();
     if (job == Job::Probe) {
       // A failure on a reused connection does not mean that the target is
@@ -376,7 +376,8 @@
       dispatch::AttemptEnd end;
       end.mRequest = mRequest;
       end.mAttempt = mAttempt;
-      end.mKind = sent ? dispatch::EndKind::Broken : dispatch::EndKind::NotSent;
+      end.mKind =
+        hasSentBytes ? dispatch::EndKind::Broken : dispatch::EndKind::NotSent;
       end.mRefused = aRefused;
       end.mReason = aReason;
       mPool.mSink.OnAttemptResult(std::move(end), HttpResponse());
@@ -399,7 +400,7 @@
   Micros mLastUsedAt = 0;
   Micros mIdleTimeout = kDefaultIdleTimeout;
   bool mConnecting = true;
-  bool mSent = false;
+  bool mHasSentBytes = false;
   bool mIsReused = false;
   bool mHeadOnly = false;
   bool mReceivedStray = false;
