--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -137,7 +137,7 @@
     counters["peer_messages_dropped"] = mPeerInbox.Dropped();
     counters["peer_messages_replaced"] = mPeerInbox.Replaced();
   }
-  mLoadMonitor.Count(counters);
+  mLoadMonitor.ExportCounters(counters);
   if (const std::optional<Micros> age = fleet::WordAge(mState.mFleet, mNow)) {
     gauges["group_word_age_seconds"] = static_cast<double>(*age) / kSecond;
   }
--- a/src/frontend/load_monitor.cpp
+++ b/src/frontend/load_monitor.cpp
@@ -50,7 +50,7 @@
   : mLastCpuTime(ThreadCpuTime())
 {
   for (std::size_t i = 0; i < kWaitKinds; ++i) {
-    mSeries[i] = &aMetrics.Find("wait", kWaitNames[i]);
+    mSeries[i] = &aMetrics.FindOrCreate("wait", kWaitNames[i]);
   }
 }
 
@@ -110,7 +110,7 @@
   return line;
 }
 
-void LoadMonitor::Count(dispatch::Counters& aCounters) const
+void LoadMonitor::ExportCounters(dispatch::Counters& aCounters) const
 {
   for (std::size_t i = 0; i < kWorkKinds; ++i) {
     const std::string name = std::string("work_") + kWorkNames[i];
--- a/src/frontend/load_monitor.h
+++ b/src/frontend/load_monitor.h
@@ -64,7 +64,7 @@
   [[nodiscard]] std::optional<std::string> TakeLogLine(Micros aNow);
 
   /// \brief Sets the counters of items and processor time by kind of work.
-  void Count(dispatch::Counters& aCounters) const;
+  void ExportCounters(dispatch::Counters& aCounters) const;
 
 private:
   static constexpr std::size_t kWaitKinds =
--- a/src/frontend/metrics.cpp
+++ b/src/frontend/metrics.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-Metrics::Series& Metrics::Find(const std::string& aName,
-                               const std::string& aLabel)
+Metrics::Series& Metrics::FindOrCreate(const std::string& aName,
+                                       const std::string& aLabel)
 {
   const auto key = std::make_pair(aName, aLabel);
   auto found = mSeries.find(key);
@@ -41,7 +41,7 @@
                       const std::string& aLabel,
                       Micros aDuration)
 {
-  Observe(Find(aName, aLabel), aDuration);
+  Observe(FindOrCreate(aName, aLabel), aDuration);
 }
 
 std::string Metrics::Text(const dispatch::Counters& aCounters,
--- a/src/frontend/metrics.h
+++ b/src/frontend/metrics.h
@@ -31,8 +31,8 @@
   };
 
   /// \brief Finds or creates the histogram `aName{kind="aLabel"}`.
-  [[nodiscard]] Series& Find(const std::string& aName,
-                             const std::string& aLabel);
+  [[nodiscard]] Series& FindOrCreate(const std::string& aName,
+                                     const std::string& aLabel);
   static void Observe(Series& aSeries, Micros aDuration);
 
   /// \brief Adds a duration to the histogram `aName{kind="aLabel"}`.
--- a/tests/load_monitor_test.cpp
+++ b/tests/load_monitor_test.cpp
@@ -38,7 +38,7 @@
     mMonitor.RecordWork(WorkKind::Replies, 2);
     mMonitor.RecordWork(WorkKind::Replies, 3);
     dispatch::Counters counters;
-    mMonitor.Count(counters);
+    mMonitor.ExportCounters(counters);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), counters.at("work_replies"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), counters.at("work_disk"));
     CPPUNIT_ASSERT(counters.count("work_replies_microseconds") == 1);
@@ -57,7 +57,7 @@
   std::uint64_t CpuTimeOfIteration(Micros aWait)
   {
     dispatch::Counters before;
-    mMonitor.Count(before);
+    mMonitor.ExportCounters(before);
     mMonitor.RecordWait(WaitKind::Loop, aWait);
     volatile double sum = 0;
     for (int i = 0; i < 1000000; ++i) {
@@ -66,7 +66,7 @@
     mMonitor.RecordWork(WorkKind::Replies, 1);
     mMonitor.EndIteration();
     dispatch::Counters after;
-    mMonitor.Count(after);
+    mMonitor.ExportCounters(after);
     return after.at("work_replies_microseconds") -
            before.at("work_replies_microseconds");
   }
