--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -49,27 +49,27 @@
 
 } // namespace
 
-Result<OpenedDisk> OpenDisk(const std::string& aFolder,
-                            bool aIsFounder,
-                            const wire::Membership& aFounders,
-                            const std::string& aStorage)
+Result<RecoveredDisk> OpenDisk(const std::string& aFolder,
+                               bool aIsFounder,
+                               const wire::Membership& aFounders,
+                               const std::string& aStorage)
 {
   if (aIsFounder) {
-    const Result<bool> made = edge::InitFounder(aFolder, aFounders);
-    if (!made && made.error().mCode != ErrorCode::Conflict) {
-      return made.error();
+    const Result<bool> initialized = edge::InitFounder(aFolder, aFounders);
+    if (!initialized && initialized.error().mCode != ErrorCode::Conflict) {
+      return initialized.error();
     }
   }
-  const Result<bool> made = edge::InitJoiner(aFolder, aStorage);
-  if (!made) {
-    return made.error();
+  const Result<bool> initialized = edge::InitJoiner(aFolder, aStorage);
+  if (!initialized) {
+    return initialized.error();
   }
   Result<edge::StoredState> stored = edge::Recover(aFolder);
   if (!stored) {
     return stored.error();
   }
-  OpenedDisk disk;
-  disk.mCutBytes = stored.value().mCutBytes;
+  RecoveredDisk disk;
+  disk.mTruncatedBytes = stored.value().mCutBytes;
   disk.mRecovered.mHard = stored.value().mHard;
   disk.mRecovered.mSnapshot = stored.value().mSnapshot;
   disk.mRecovered.mEntries = std::move(stored.value().mEntries);
--- a/src/frontend/disk_writer.h
+++ b/src/frontend/disk_writer.h
@@ -18,19 +18,19 @@
 namespace geraniumpond::frontend {
 
 /// \brief State recovered from a host's disk.
-struct OpenedDisk
+struct RecoveredDisk
 {
   consensus::Recovered mRecovered;
   /// Bytes of an incomplete record that were removed from the log's tail.
-  std::uint64_t mCutBytes = 0;
+  std::uint64_t mTruncatedBytes = 0;
 };
 
 /// \brief Recovers the state in a data folder; initializes the folder for a
 /// founding or a joining member if it is empty.
-[[nodiscard]] Result<OpenedDisk> OpenDisk(const std::string& aFolder,
-                                          bool aIsFounder,
-                                          const wire::Membership& aFounders,
-                                          const std::string& aStorage);
+[[nodiscard]] Result<RecoveredDisk> OpenDisk(const std::string& aFolder,
+                                             bool aIsFounder,
+                                             const wire::Membership& aFounders,
+                                             const std::string& aStorage);
 
 /// \brief Writes to disk in order, on a thread of its own.
 ///
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -209,16 +209,17 @@
                 sizeof(storage),
                 "disk-%016llx",
                 static_cast<unsigned long long>(RandomUint64()));
-  Result<OpenedDisk> disk = OpenDisk(mSettings.mDataFolder,
-                                     mSettings.mFounding && isSeed,
-                                     fleet::FoundingMembers(aFleet.mSeeds),
-                                     storage);
+  Result<RecoveredDisk> disk = OpenDisk(mSettings.mDataFolder,
+                                        mSettings.mFounding && isSeed,
+                                        fleet::FoundingMembers(aFleet.mSeeds),
+                                        storage);
   if (!disk) {
     return disk.error();
   }
-  if (disk.value().mCutBytes > 0) {
-    edge::WriteLog(
-      2, "event=log_tail_cut bytes=" + std::to_string(disk.value().mCutBytes));
+  if (disk.value().mTruncatedBytes > 0) {
+    edge::WriteLog(2,
+                   "event=log_tail_cut bytes=" +
+                     std::to_string(disk.value().mTruncatedBytes));
   }
   Result<std::unique_ptr<DiskWriter>> writer = DiskWriter::Open(
     mSettings.mDataFolder,
