--- a/tests/gateway_stop_test.cpp
+++ b/tests/gateway_stop_test.cpp
@@ -50,7 +50,7 @@
                                 "backends = s:1\n";
 
 /// \brief Answers health checks, and all other requests with a large body.
-class LargeAnswers : public net::HTTPRequestHandler
+class LargeAnswerHandler : public net::HTTPRequestHandler
 {
 public:
   void handleRequest(net::HTTPServerRequest& aRequest,
@@ -69,13 +69,13 @@
   }
 };
 
-class LargeAnswersFactory : public net::HTTPRequestHandlerFactory
+class LargeAnswerHandlerFactory : public net::HTTPRequestHandlerFactory
 {
 public:
   net::HTTPRequestHandler* createRequestHandler(
     const net::HTTPServerRequest&) override
   {
-    return new LargeAnswers;
+    return new LargeAnswerHandler;
   }
 };
 
@@ -129,23 +129,24 @@
 
   void LargeAnswerToASlowReaderIsWholeThoughTheHostStops()
   {
-    net::HTTPServer target(
-      new LargeAnswersFactory, net::ServerSocket(0), new net::HTTPServerParams);
+    net::HTTPServer target(new LargeAnswerHandlerFactory,
+                           net::ServerSocket(0),
+                           new net::HTTPServerParams);
     target.start();
     std::thread host([this] { Run(); });
     // Joins the thread also when an assertion fails: destroying a joinable
     // thread would terminate the process and hide the failure.
-    const std::shared_ptr<void> joins(nullptr, [&](void*) {
+    const std::shared_ptr<void> joinOnExit(nullptr, [&](void*) {
       mStop = true;
       if (host.joinable()) {
         host.join();
       }
     });
     Announce("127.0.0.1:" + std::to_string(target.port()));
-    const std::size_t taken = ReadSlowly();
+    const std::size_t bytesRead = ReadSlowly();
     host.join();
     target.stopAll(true);
-    CPPUNIT_ASSERT_EQUAL(kAnswerBytes, taken);
+    CPPUNIT_ASSERT_EQUAL(kAnswerBytes, bytesRead);
   }
 
 private:
@@ -168,13 +169,13 @@
     const std::string& host = mSettings.mCallAddresses.front();
     const std::string record = R"({"service":"s","address":")" + aTarget +
                                R"(","slots":4,"sequence":1})";
-    CPPUNIT_ASSERT(Accepted(host, "/policy", kPolicy));
-    CPPUNIT_ASSERT(Accepted(host, "/targets/t1", record));
+    CPPUNIT_ASSERT(PutUntilAccepted(host, "/policy", kPolicy));
+    CPPUNIT_ASSERT(PutUntilAccepted(host, "/targets/t1", record));
   }
 
-  static bool Accepted(const std::string& aHost,
-                       const std::string& aPath,
-                       const std::string& aBody)
+  static bool PutUntilAccepted(const std::string& aHost,
+                               const std::string& aPath,
+                               const std::string& aBody)
   {
     const auto end = steady_clock::now() + std::chrono::seconds(10);
     while (steady_clock::now() < end) {
@@ -205,14 +206,15 @@
     CPPUNIT_ASSERT_EQUAL(200, static_cast<int>(response.getStatus()));
     mStop = true;
     constexpr int kSteps = 40;
-    std::string part(kAnswerBytes / kSteps, '\0');
-    std::size_t taken = 0;
-    while (body.read(part.data(), static_cast<std::streamsize>(part.size())) ||
-           body.gcount() > 0) {
-      taken += static_cast<std::size_t>(body.gcount());
+    std::string buffer(kAnswerBytes / kSteps, '\0');
+    std::size_t bytesRead = 0;
+    while (
+      body.read(buffer.data(), static_cast<std::streamsize>(buffer.size())) ||
+      body.gcount() > 0) {
+      bytesRead += static_cast<std::size_t>(body.gcount());
       std::this_thread::sleep_for(milliseconds(50));
     }
-    return taken;
+    return bytesRead;
   }
 
   std::string mFolder;
