--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -24,7 +24,7 @@
 constexpr Micros kLongestWait = 50 * kMillisecond;
 /// Peer messages other than consensus messages that are handled in one
 /// iteration before clients and consensus are served again.
-constexpr std::size_t kMaxPeerMessagesPerRound = 16;
+constexpr std::size_t kMaxPeerMessagesPerIteration = 16;
 /// A loop that is this late has no spare processor time.
 constexpr Micros kLateThreshold = 20 * kMillisecond;
 /// How often a late loop yields to the message thread, and for how long at
@@ -349,7 +349,7 @@
   {
     const std::lock_guard<std::mutex> lock(mInboxMutex);
     mLoadMonitor.RecordWait(WaitKind::Inbox, mPeerInbox.LongestWait(mNow));
-    messages = mPeerInbox.Take(kMaxPeerMessagesPerRound);
+    messages = mPeerInbox.Take(kMaxPeerMessagesPerIteration);
     if (!mPeerInbox.IsEmpty()) {
       mLoop.Wake();
     }
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kBacklog = 512;
 /// Connections accepted in one iteration before other descriptors are served.
-constexpr std::size_t kMaxAcceptsPerRound = 64;
+constexpr std::size_t kMaxAcceptsPerIteration = 64;
 /// Requests of one connection that are handled concurrently.
 constexpr std::size_t kMaxPipelined = 16;
 /// Unsent answer bytes at which reading from a slow client is paused.
@@ -285,7 +285,7 @@
 // accept() directly because POCO throws when no connection waits.
 void HttpServer::OnReadable()
 {
-  for (std::size_t i = 0; i < kMaxAcceptsPerRound; ++i) {
+  for (std::size_t i = 0; i < kMaxAcceptsPerIteration; ++i) {
     const int descriptor = ::accept(mSocket.impl()->sockfd(), nullptr, nullptr);
     if (descriptor < 0) {
       // No connection is left, it was reset already, or the process is out of
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr int kClients = 60;
 /// A connection is accepted in one iteration of the loop and read in the next.
-constexpr int kRounds = 3;
+constexpr int kIterations = 3;
 
 /// \brief Counts requests, disconnects and malformed requests.
 class CountingSink : public RequestSink
@@ -55,7 +55,7 @@
   void WaitingConnectionsAreAcceptedTogether()
   {
     SendRequests(kClients);
-    Run(kRounds);
+    Run(kIterations);
     CPPUNIT_ASSERT_EQUAL(kClients, mSink.mRequests);
   }
 
@@ -67,7 +67,7 @@
   {
     SendRequests(kClients);
     mClients.clear();
-    Run(kRounds * kClients);
+    Run(kIterations * kClients);
     CPPUNIT_ASSERT_EQUAL(0, mSink.mRequests);
     CPPUNIT_ASSERT_EQUAL(0, mSink.mMalformed);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), mServer.Connections());
@@ -76,7 +76,7 @@
   void RequestOfConnectedClientIsAnswered()
   {
     SendRequests(1);
-    Run(kRounds);
+    Run(kIterations);
     CPPUNIT_ASSERT_EQUAL(1, mSink.mRequests);
     mServer.Respond(NextExchangeId() - 1,
                     MakeResponse(200, "text/plain", "ok"));
@@ -98,9 +98,9 @@
     }
   }
 
-  void Run(int aRounds)
+  void Run(int aIterations)
   {
-    for (int i = 0; i < aRounds; ++i) {
+    for (int i = 0; i < aIterations; ++i) {
       mNow += 20 * kMillisecond;
       (void)mLoop.RunOnce(mNow, mNow + kMillisecond);
       mServer.Tick(mNow);
