--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -256,13 +256,13 @@
   {
     using gateway::OperationEnd;
     const frontend::Dialect dialect = PlatformDialect();
-    const std::pair<OperationEnd, int> ends[] = {
+    const std::pair<OperationEnd, int> results[] = {
       { OperationEnd::Done, 200 },
       { OperationEnd::Invalid, 400 },
       { OperationEnd::Conflict, 412 },
       { OperationEnd::Unavailable, 503 },
     };
-    for (const auto& [end, status] : ends) {
+    for (const auto& [end, status] : results) {
       CPPUNIT_ASSERT_EQUAL(
         status,
         dialect.mMakeOperationResponse({ 1, end, "why", "", "" }).mStatus);
--- a/tests/request_digest_test.cpp
+++ b/tests/request_digest_test.cpp
@@ -34,11 +34,11 @@
 public:
   void RetryHasTheSameDigest()
   {
-    HttpRequest later = MakeRequest();
-    later.mFields[1].second = "2";
-    later.mFields.emplace_back("Deadline-Ms", "700");
-    later.mFields.emplace_back("Connection", "close");
-    CPPUNIT_ASSERT_EQUAL(DigestOf(MakeRequest()), DigestOf(later));
+    HttpRequest retry = MakeRequest();
+    retry.mFields[1].second = "2";
+    retry.mFields.emplace_back("Deadline-Ms", "700");
+    retry.mFields.emplace_back("Connection", "close");
+    CPPUNIT_ASSERT_EQUAL(DigestOf(MakeRequest()), DigestOf(retry));
   }
 
   void DifferentMethodBodyOrCallerHasDifferentDigest()
@@ -49,9 +49,9 @@
     body.mBodyDigest = Hash64("withdrawn");
     HttpRequest caller = MakeRequest();
     caller.mFields[2].second = "Bearer omar";
-    HttpRequest nobody = MakeRequest();
-    nobody.mFields.pop_back();
-    for (const HttpRequest& other : { method, body, caller, nobody }) {
+    HttpRequest anonymous = MakeRequest();
+    anonymous.mFields.pop_back();
+    for (const HttpRequest& other : { method, body, caller, anonymous }) {
       CPPUNIT_ASSERT(DigestOf(MakeRequest()) != DigestOf(other));
     }
   }
