--- a/src/cli/gateway.cpp
+++ b/src/cli/gateway.cpp
@@ -2,7 +2,7 @@
 
 #include "command.h"
 #include "frontend/gateway_host.h"
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <geraniumpond/gateway_settings.h>
 
@@ -26,7 +26,7 @@
     return ExitCode::Failed;
   }
   return static_cast<ExitCode>(
-    frontend::RunGateway(settings.mValue, frontend::OwnDialect()));
+    frontend::RunGateway(settings.mValue, frontend::NativeDialect()));
 }
 
 ExitCode RunPlatformHost(const Arguments&)
--- a/src/config/gateway_settings.cpp
+++ b/src/config/gateway_settings.cpp
@@ -105,7 +105,8 @@
                                               const std::string& aFile)
 {
   Checked<GatewaySettings> result;
-  // Sections that are left out have their defaults, and miss required keys.
+  // Adds missing sections, so that defaults apply and missing required keys are
+  // reported.
   std::string text(aText);
   for (const char* name :
        { "host", "listen", "fleet", "bounds", "requests", "log" }) {
@@ -137,7 +138,7 @@
   return result;
 }
 
-std::vector<std::string> SeedPeers(const GatewaySettings& aSettings)
+std::vector<std::string> SeedPeerAddresses(const GatewaySettings& aSettings)
 {
   const std::string& own = aSettings.mPeerAddress;
   const std::string port = own.substr(own.rfind(':'));
--- a/src/frontend/dialect.h
+++ b/src/frontend/dialect.h
@@ -10,87 +10,92 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Names of the header fields that hosts, clients and targets share.
+/// \brief Names of the header fields that hosts, clients and targets use.
 struct FieldNames
 {
-  /// Names one attempt of a client; targets repeat it in their answers.
+  /// Identifies one request attempt of a client; targets echo it in answers.
   std::string mRequestId;
-  /// In a successful answer: the target vouches for it. Empty when targets
-  /// have no such field.
+  /// Signature of the target in a successful answer. Empty if targets do not
+  /// sign their answers.
   std::string mSignature;
-  /// Milliseconds that the sender of a request waits.
-  std::string mPatience;
+  /// Milliseconds that the sender of a request waits for the answer.
+  std::string mTimeout;
   /// Id of the only target that may run the request.
   std::string mExpectedTarget;
-  /// In an answer: the target did not run the request.
+  /// In an answer: the target did not execute the request.
   std::string mNotRun;
   /// In an answer: id of the target.
   std::string mTargetId;
-  /// In an answer: running, waiting, slots, and percent of the usual time.
+  /// In an answer: running and waiting requests, slots, and the current
+  /// duration of requests as a percentage of the usual one.
   std::string mLoad;
-  /// In an answer: requests a second that the target takes from all hosts
+  /// In an answer: requests per second that the target accepts from all hosts
   /// together.
   std::string mLimit;
 };
 
-/// \brief Calls that hosts, targets and operators make beside requests.
-struct CallAnnounce
+/// \brief API calls of hosts, targets and operators, as opposed to client
+/// requests that are forwarded.
+struct RegisterTargetCall
 {
   wire::TargetRecord mRecord;
 };
-struct CallWithdraw
+struct RemoveTargetCall
 {
   wire::RemoveTarget mRemoval;
 };
-struct CallPutPolicy
+struct PutPolicyCall
 {
   std::string mDocument;
 };
-struct CallReadPolicy
+struct ReadPolicyCall
 {};
-struct CallResolve
+struct ResolveCall
 {
   std::string mDataCentre;
 };
-struct CallReady
+struct ReadinessCall
 {};
-struct CallMetrics
+struct MetricsCall
 {};
-/// \brief Which requests are suspected or quarantined, and why.
-struct CallQuarantine
+/// \brief Lists suspected and quarantined requests with the evidence.
+struct ListQuarantineCall
 {};
-struct CallRelease
+struct ReleaseRequestCall
 {
   std::uint64_t mIdentity = 0;
 };
-struct CallInvalid
+struct InvalidCall
 {
   int mStatus = 404;
   std::string mReason;
 };
 
-using Call = std::variant<CallInvalid,
-                          CallAnnounce,
-                          CallWithdraw,
-                          CallPutPolicy,
-                          CallReadPolicy,
-                          CallResolve,
-                          CallReady,
-                          CallMetrics,
-                          CallQuarantine,
-                          CallRelease>;
+using Call = std::variant<InvalidCall,
+                          RegisterTargetCall,
+                          RemoveTargetCall,
+                          PutPolicyCall,
+                          ReadPolicyCall,
+                          ResolveCall,
+                          ReadinessCall,
+                          MetricsCall,
+                          ListQuarantineCall,
+                          ReleaseRequestCall>;
 
-/// \brief How one deployment's parties speak: names and free functions.
+/// \brief The HTTP conventions of one deployment: field names, the encoding of
+/// calls and responses, and the policy format.
 struct Dialect
 {
-  FieldNames mNames;
-  /// Reads a call from a request.
-  Call (*mReadCall)(const HttpRequest&) = nullptr;
-  /// The answer to an operation.
-  HttpResponse (*mWriteEnd)(const gateway::AnswerOperation&) = nullptr;
-  /// The answer to where a service's hosts are.
-  HttpResponse (*mWriteAddresses)(const std::vector<std::string>&,
-                                  Micros aKeep) = nullptr;
+  FieldNames mFieldNames;
+  /// Parses a request as an API call.
+  Call (*mParseCall)(const HttpRequest&) = nullptr;
+  /// Builds the response to an operation.
+  HttpResponse (*mMakeOperationResponse)(const gateway::AnswerOperation&) =
+    nullptr;
+  /// Builds the response to a lookup of host addresses; clients may cache it
+  /// for `aTtl`.
+  HttpResponse (*mMakeAddressResponse)(const std::vector<std::string>&,
+                                       Micros aTtl) = nullptr;
   gateway::PolicyDecoder mDecodePolicy = nullptr;
 };
 
--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Pause before a disk that failed is tried again.
-constexpr std::chrono::milliseconds kRetryPause{ 100 };
+/// Delay before a failed write is retried.
+constexpr std::chrono::milliseconds kRetryDelay{ 100 };
 
 wire::Persist ToPersist(const consensus::Write& aWrite)
 {
@@ -27,7 +27,8 @@
   return persist;
 }
 
-// Records that are written together lie in one frame, up to a snapshot.
+// Combines the records of consecutive writes into one frame. A write with a
+// snapshot has a frame of its own.
 std::vector<wire::Persist> Merge(const std::vector<consensus::Write>& aBatch)
 {
   std::vector<wire::Persist> merged;
@@ -48,27 +49,27 @@
 
 } // namespace
 
-Result<OpenedDisk> OpenDisk(const std::string& aFolder,
-                            bool aFounds,
-                            const wire::Membership& aFounders,
-                            const std::string& aStorage)
+Result<RecoveredDisk> OpenDisk(const std::string& aFolder,
+                               bool aIsFounder,
+                               const wire::Membership& aFounders,
+                               const std::string& aStorage)
 {
-  if (aFounds) {
-    const Result<bool> made = edge::InitFounder(aFolder, aFounders);
-    if (!made && made.error().mCode != ErrorCode::Conflict) {
-      return made.error();
+  if (aIsFounder) {
+    const Result<bool> initialized = edge::InitFounder(aFolder, aFounders);
+    if (!initialized && initialized.error().mCode != ErrorCode::Conflict) {
+      return initialized.error();
     }
   }
-  const Result<bool> made = edge::InitJoiner(aFolder, aStorage);
-  if (!made) {
-    return made.error();
+  const Result<bool> initialized = edge::InitJoiner(aFolder, aStorage);
+  if (!initialized) {
+    return initialized.error();
   }
   Result<edge::StoredState> stored = edge::Recover(aFolder);
   if (!stored) {
     return stored.error();
   }
-  OpenedDisk disk;
-  disk.mCutBytes = stored.value().mCutBytes;
+  RecoveredDisk disk;
+  disk.mTruncatedBytes = stored.value().mCutBytes;
   disk.mRecovered.mHard = stored.value().mHard;
   disk.mRecovered.mSnapshot = stored.value().mSnapshot;
   disk.mRecovered.mEntries = std::move(stored.value().mEntries);
@@ -76,23 +77,23 @@
 }
 
 Result<std::unique_ptr<DiskWriter>> DiskWriter::Open(const std::string& aFolder,
-                                                     Synced aSynced,
-                                                     Trouble aTrouble)
+                                                     SyncedCallback aOnSynced,
+                                                     ErrorCallback aOnError)
 {
   Result<std::unique_ptr<edge::LogWriter>> log = edge::LogWriter::Open(aFolder);
   if (!log) {
     return log.error();
   }
   return std::unique_ptr<DiskWriter>(new DiskWriter(
-    std::move(log.value()), std::move(aSynced), std::move(aTrouble)));
+    std::move(log.value()), std::move(aOnSynced), std::move(aOnError)));
 }
 
 DiskWriter::DiskWriter(std::unique_ptr<edge::LogWriter> aLog,
-                       Synced aSynced,
-                       Trouble aTrouble)
+                       SyncedCallback aOnSynced,
+                       ErrorCallback aOnError)
   : mLog(std::move(aLog))
-  , mSynced(std::move(aSynced))
-  , mTrouble(std::move(aTrouble))
+  , mOnSynced(std::move(aOnSynced))
+  , mOnError(std::move(aOnError))
   , mThread([this] { Run(); })
 {
 }
@@ -140,28 +141,28 @@
     const Result<bool> written = WriteAll(batch);
     if (written) {
       if (failing) {
-        mTrouble("");
+        mOnError("");
       }
       failing = false;
-      mSynced(batch.back().mSequence);
+      mOnSynced(batch.back().mSequence);
       lock.lock();
       continue;
     }
     if (!failing) {
-      mTrouble(written.error().mMessage);
+      mOnError(written.error().mMessage);
     }
     failing = true;
-    // What may have reached the file in part is written anew as a whole.
+    // The batch may have been written in part, so it is rewritten completely.
     const Result<bool> rewound = mLog->Rewind();
     if (!rewound) {
-      mTrouble(rewound.error().mMessage);
+      mOnError(rewound.error().mMessage);
     }
     lock.lock();
     batch.insert(batch.end(),
                  std::make_move_iterator(mQueue.begin()),
                  std::make_move_iterator(mQueue.end()));
     mQueue = std::move(batch);
-    mQueued.wait_for(lock, kRetryPause, [this] { return mStopping; });
+    mQueued.wait_for(lock, kRetryDelay, [this] { return mStopping; });
   }
 }
 
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-// Calls of targets, operators and directory clients.
+// Handles calls from targets, operators and directory clients.
 namespace geraniumpond::frontend {
 
 namespace {
@@ -14,69 +14,70 @@
 
 } // namespace
 
-void GatewayProcess::TakeCall(std::uint64_t aExchange,
-                              const HttpRequest& aRequest)
+void GatewayProcess::HandleCall(std::uint64_t aExchange,
+                                const HttpRequest& aRequest)
 {
-  Call call = mDialect.mReadCall(aRequest);
-  if (auto* announce = std::get_if<CallAnnounce>(&call)) {
+  Call call = mDialect.mParseCall(aRequest);
+  if (auto* announce = std::get_if<RegisterTargetCall>(&call)) {
     Post(gateway::Announce{ aExchange, std::move(announce->mRecord) });
-  } else if (auto* withdraw = std::get_if<CallWithdraw>(&call)) {
+  } else if (auto* withdraw = std::get_if<RemoveTargetCall>(&call)) {
     Post(gateway::Withdraw{ aExchange, std::move(withdraw->mRemoval) });
-  } else if (auto* put = std::get_if<CallPutPolicy>(&call)) {
+  } else if (auto* put = std::get_if<PutPolicyCall>(&call)) {
     Post(gateway::PutPolicy{ aExchange, std::move(put->mDocument) });
-  } else if (std::holds_alternative<CallReadPolicy>(call)) {
-    TakeRead(aExchange, aRequest);
-  } else if (const auto* resolve = std::get_if<CallResolve>(&call)) {
+  } else if (std::holds_alternative<ReadPolicyCall>(call)) {
+    HandlePolicyRead(aExchange, aRequest);
+  } else if (const auto* resolve = std::get_if<ResolveCall>(&call)) {
     const std::vector<std::string> addresses =
       gateway::AddressesFor(mState, resolve->mDataCentre, mNow);
-    AnswerCall(aExchange,
-               addresses.empty()
-                 ? MakeResponse(503, "text/plain", "no host is ready\n")
-                 : mDialect.mWriteAddresses(addresses, mSettings.mAnswerKeep));
-  } else if (std::holds_alternative<CallReady>(call)) {
+    RespondToCall(
+      aExchange,
+      addresses.empty()
+        ? MakeResponse(503, "text/plain", "no host is ready\n")
+        : mDialect.mMakeAddressResponse(addresses, mSettings.mAnswerKeep));
+  } else if (std::holds_alternative<ReadinessCall>(call)) {
     const bool ready = gateway::IsReady(mState);
-    AnswerCall(aExchange,
-               MakeResponse(
-                 ready ? 200 : 503, "text/plain", ready ? "ready\n" : "not\n"));
-  } else if (std::holds_alternative<CallQuarantine>(call)) {
-    AnswerCall(
+    RespondToCall(aExchange,
+                  MakeResponse(ready ? 200 : 503,
+                               "text/plain",
+                               ready ? "ready\n" : "not\n"));
+  } else if (std::holds_alternative<ListQuarantineCall>(call)) {
+    RespondToCall(
       aExchange,
       MakeResponse(200,
                    "application/json",
-                   QuarantineText(mState.mDispatch.mQuarantine, mNow)));
-  } else if (const auto* release = std::get_if<CallRelease>(&call)) {
+                   QuarantineJson(mState.mDispatch.mQuarantine, mNow)));
+  } else if (const auto* release = std::get_if<ReleaseRequestCall>(&call)) {
     Post(gateway::ReleaseRequest{ aExchange, release->mIdentity });
-  } else if (std::holds_alternative<CallMetrics>(call)) {
-    AnswerCall(aExchange, MakeResponse(200, "text/plain", MetricsText()));
+  } else if (std::holds_alternative<MetricsCall>(call)) {
+    RespondToCall(aExchange, MakeResponse(200, "text/plain", MetricsText()));
   } else {
-    const auto& invalid = std::get<CallInvalid>(call);
+    const auto& invalid = std::get<InvalidCall>(call);
     ++mState.mDispatch.mCounters["calls_refused"];
     edge::WriteLog(
       2,
       "event=call_refused status=" + std::to_string(invalid.mStatus) +
         " reason=\"" + invalid.mReason + "\"");
-    AnswerCall(
+    RespondToCall(
       aExchange,
       MakeResponse(invalid.mStatus, "text/plain", invalid.mReason + "\n"));
   }
 }
 
-void GatewayProcess::TakeRead(std::uint64_t aExchange,
-                              const HttpRequest& aRequest)
+void GatewayProcess::HandlePolicyRead(std::uint64_t aExchange,
+                                      const HttpRequest& aRequest)
 {
   const std::string* host = FindField(aRequest.mFields, "Host");
-  const bool namesPort =
-    host != nullptr && host->rfind(':') != std::string::npos;
-  if (namesPort) {
-    mReadUrls[aExchange] = { *host, aRequest.mTarget };
+  const bool hasPort = host != nullptr && host->rfind(':') != std::string::npos;
+  if (hasPort) {
+    mPolicyReadUrls[aExchange] = { *host, aRequest.mTarget };
   }
-  Post(gateway::ReadPolicy{ aExchange, namesPort });
+  Post(gateway::ReadPolicy{ aExchange, hasPort });
 }
 
-// All hosts take calls at the same ports: the other host's address is its IP
-// and the port that this call came to.
+// All hosts listen for calls on the same ports, so the redirect combines the
+// other host's IP with the port of the original call.
 HttpResponse GatewayProcess::RedirectTo(const std::string& aPeerAddress,
-                                        const ReadUrl& aUrl) const
+                                        const PolicyReadUrl& aUrl) const
 {
   const std::string location =
     "http://" + aPeerAddress.substr(0, aPeerAddress.rfind(':')) +
@@ -103,7 +104,7 @@
   gauges["catalog_index"] = static_cast<double>(mState.mFleet.mApplied);
   gauges["target_connections"] = static_cast<double>(mTargets.Connections());
   gauges["client_connections"] =
-    static_cast<double>(mCallerServer->Connections());
+    static_cast<double>(mClientServer->Connections());
   const fleet::State& fleet = mState.mFleet;
   const fleet::FleetCounters& traffic = fleet.mCounters;
   gauges["followers"] = static_cast<double>(fleet.mFollowers.size());
@@ -116,7 +117,7 @@
     gauges["voters_answering"] = health.mAnswering;
     gauges["losses_tolerated"] = health.mTolerated;
   }
-  CountVerdicts(mState.mDispatch.mQuarantine, mNow, gauges);
+  AddVerdictGauges(mState.mDispatch.mQuarantine, mNow, gauges);
   gauges["facts"] = static_cast<double>(fleet.mGossip.mEntries.size());
   gauges["peer_connections"] = static_cast<double>(mPeers->Connections());
   dispatch::Counters counters = mState.mDispatch.mCounters;
@@ -136,7 +137,7 @@
     counters["peer_messages_dropped"] = mPeerInbox.Dropped();
     counters["peer_messages_replaced"] = mPeerInbox.Replaced();
   }
-  mLoad.Count(counters);
+  mLoadMonitor.ExportCounters(counters);
   if (const std::optional<Micros> age =
         fleet::ConfirmationAge(mState.mFleet, mNow)) {
     gauges["group_word_age_seconds"] = static_cast<double>(*age) / kSecond;
--- a/src/frontend/gateway_effects.cpp
+++ b/src/frontend/gateway_effects.cpp
@@ -5,15 +5,16 @@
 #include <algorithm>
 #include <cstdio>
 
-// What the reducer asks for, done on sockets, disk and log.
+// Carries out the reducer's effects on sockets, disk and log.
 namespace geraniumpond::frontend {
 
 namespace {
 
-/// Deadlines handed to targets end this much before the client's.
-constexpr Micros kAnswerTrip = 2 * kMillisecond;
+/// Targets get a deadline this much before the client's, which leaves time to
+/// return the answer.
+constexpr Micros kReturnMargin = 2 * kMillisecond;
 
-// Seconds with a fraction, as clients take it.
+// Seconds with a fractional part, which the clients accept.
 std::string RetryAfterText(Micros aTime)
 {
   char text[32];
@@ -25,27 +26,27 @@
 std::string RequestBytes(const HttpRequest& aRequest,
                          const FieldNames& aNames,
                          const std::string& aTarget,
-                         Micros aPatience)
+                         Micros aTimeout)
 {
   std::string out;
   out.reserve(512 + aRequest.mBody.size());
   out += aRequest.mMethod + " " + aRequest.mTarget + " HTTP/1.1\r\n";
   bool framed = false;
   for (const auto& [name, value] : aRequest.mFields) {
-    if (SameName(name, "Content-Length") ||
-        SameName(name, "Transfer-Encoding")) {
+    if (EqualIgnoringCase(name, "Content-Length") ||
+        EqualIgnoringCase(name, "Transfer-Encoding")) {
       framed = true;
       continue;
     }
-    if (IsHopField(aRequest.mFields, name) ||
-        SameName(name, aNames.mPatience) ||
-        SameName(name, aNames.mExpectedTarget)) {
+    if (IsHopByHopField(aRequest.mFields, name) ||
+        EqualIgnoringCase(name, aNames.mTimeout) ||
+        EqualIgnoringCase(name, aNames.mExpectedTarget)) {
       continue;
     }
     out += name + ": " + value + "\r\n";
   }
-  const Micros left = std::max<Micros>(1, aPatience / kMillisecond);
-  out += aNames.mPatience + ": " + std::to_string(left) + "\r\n";
+  const Micros left = std::max<Micros>(1, aTimeout / kMillisecond);
+  out += aNames.mTimeout + ": " + std::to_string(left) + "\r\n";
   out += aNames.mExpectedTarget + ": " + aTarget + "\r\n";
   if (framed) {
     out += "Content-Length: " + std::to_string(aRequest.mBody.size()) + "\r\n";
@@ -70,20 +71,20 @@
   }
   const HttpRequest& request = found->second.mRequest;
   const std::string* id =
-    FindField(request.mFields, mDialect.mNames.mRequestId);
-  Shipment shipment;
-  shipment.mRequest = aEffect.mRequest;
-  shipment.mAttempt = aEffect.mAttempt;
-  shipment.mTarget = aEffect.mTarget;
-  shipment.mAddress = aEffect.mAddress;
-  shipment.mBytes = RequestBytes(request,
-                                 mDialect.mNames,
+    FindField(request.mFields, mDialect.mFieldNames.mRequestId);
+  OutboundRequest outbound;
+  outbound.mRequest = aEffect.mRequest;
+  outbound.mAttempt = aEffect.mAttempt;
+  outbound.mTarget = aEffect.mTarget;
+  outbound.mAddress = aEffect.mAddress;
+  outbound.mBytes = RequestBytes(request,
+                                 mDialect.mFieldNames,
                                  aEffect.mTargetName,
-                                 aEffect.mDeadline - mNow - kAnswerTrip);
-  shipment.mRequestId = id == nullptr ? "" : *id;
-  shipment.mHeadOnly = request.mMethod == "HEAD";
-  shipment.mProvenConnection = aEffect.mProvenConnection;
-  mTargets.Send(std::move(shipment));
+                                 aEffect.mDeadline - mNow - kReturnMargin);
+  outbound.mRequestId = id == nullptr ? "" : *id;
+  outbound.mHeadOnly = request.mMethod == "HEAD";
+  outbound.mProvenConnection = aEffect.mProvenConnection;
+  mTargets.Send(std::move(outbound));
 }
 
 void GatewayProcess::PerformOne(dispatch::CancelAttempt& aEffect)
@@ -96,7 +97,7 @@
   const auto found = mExchanges.find(aEffect.mRequest);
   if (found != mExchanges.end() &&
       found->second.mAnsweredBy == aEffect.mAttempt) {
-    Answer(aEffect.mRequest, found->second.mAnswer);
+    RespondToClient(aEffect.mRequest, found->second.mAnswer);
   }
 }
 
@@ -108,7 +109,7 @@
     response.mFields.emplace_back("Retry-After",
                                   RetryAfterText(aEffect.mRetryAfter));
   }
-  Answer(aEffect.mRequest, response);
+  RespondToClient(aEffect.mRequest, response);
 }
 
 void GatewayProcess::PerformOne(dispatch::LogLine& aEffect)
@@ -118,14 +119,14 @@
 
 void GatewayProcess::PerformOne(gateway::AnswerOperation& aEffect)
 {
-  const auto url = mReadUrls.find(aEffect.mOperation);
+  const auto url = mPolicyReadUrls.find(aEffect.mOperation);
   const bool elsewhere = aEffect.mEnd == gateway::OperationOutcome::Elsewhere;
-  AnswerCall(aEffect.mOperation,
-             elsewhere && url != mReadUrls.end()
-               ? RedirectTo(aEffect.mElsewhere, url->second)
-               : mDialect.mWriteEnd(aEffect));
-  if (url != mReadUrls.end()) {
-    mReadUrls.erase(url);
+  RespondToCall(aEffect.mOperation,
+                elsewhere && url != mPolicyReadUrls.end()
+                  ? RedirectTo(aEffect.mElsewhere, url->second)
+                  : mDialect.mMakeOperationResponse(aEffect));
+  if (url != mPolicyReadUrls.end()) {
+    mPolicyReadUrls.erase(url);
   }
 }
 
@@ -153,8 +154,8 @@
   mExited = true;
 }
 
-void GatewayProcess::Answer(std::uint64_t aExchange,
-                            const HttpResponse& aResponse)
+void GatewayProcess::RespondToClient(std::uint64_t aExchange,
+                                     const HttpResponse& aResponse)
 {
   const auto found = mExchanges.find(aExchange);
   if (found == mExchanges.end()) {
@@ -163,12 +164,12 @@
   mMetrics.Observe("request",
                    std::to_string(aResponse.mStatus),
                    mNow - found->second.mArrivedAt);
-  mCallerServer->Respond(aExchange, aResponse);
+  mClientServer->Respond(aExchange, aResponse);
   mExchanges.erase(aExchange);
 }
 
-void GatewayProcess::AnswerCall(std::uint64_t aExchange,
-                                const HttpResponse& aResponse)
+void GatewayProcess::RespondToCall(std::uint64_t aExchange,
+                                   const HttpResponse& aResponse)
 {
   for (const std::unique_ptr<HttpServer>& server : mCallServers) {
     server->Respond(aExchange, aResponse);
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -20,17 +20,17 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-/// Sweeps of connections happen at this pace even when nothing else does.
+/// Upper bound of a wait, so that connection timeouts are checked in time.
 constexpr Micros kLongestWait = 50 * kMillisecond;
-/// Messages of other hosts, those of consensus aside, that are taken before
-/// clients and consensus have their turn again.
-constexpr std::size_t kPeerMessagesAtOnce = 16;
-/// A loop that comes this late to its work has no processor to spare.
-constexpr Micros kLate = 20 * kMillisecond;
-/// Pace at which a late loop lets messages pass, and for how long at most: as
-/// long as it works itself.
-constexpr Micros kPassPause = 40 * kMillisecond;
-constexpr Micros kPassPatience = 40 * kMillisecond;
+/// Peer messages other than consensus messages that are handled in one
+/// iteration before clients and consensus are served again.
+constexpr std::size_t kMaxPeerMessagesPerIteration = 16;
+/// A loop that is this late has no spare processor time.
+constexpr Micros kLateThreshold = 20 * kMillisecond;
+/// How often a late loop yields to the message thread, and for how long at
+/// most. The two are equal, so that the loop keeps half of the time.
+constexpr Micros kYieldInterval = 40 * kMillisecond;
+constexpr Micros kMaxYield = 40 * kMillisecond;
 constexpr double kBytesPerMegabit = 125000;
 
 Micros SteadyNow()
@@ -45,18 +45,18 @@
     .count();
 }
 
-Work WorkOf(const wire::FleetMessage& aMessage)
+WorkKind WorkKindOf(const wire::FleetMessage& aMessage)
 {
   if (aMessage.has_consensus()) {
-    return Work::Consensus;
+    return WorkKind::Consensus;
   }
   if (aMessage.has_follow()) {
-    return Work::Reports;
+    return WorkKind::Reports;
   }
-  return aMessage.has_follow_reply() ? Work::Replies : Work::Commands;
+  return aMessage.has_follow_reply() ? WorkKind::Replies : WorkKind::Commands;
 }
 
-std::uint64_t RandomWord()
+std::uint64_t RandomUint64()
 {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32) | device();
@@ -64,18 +64,18 @@
 
 } // namespace
 
-/// \brief Clients' requests become arrivals.
-class GatewayProcess::Callers : public RequestSink
+/// \brief Turns client requests into arrival events.
+class GatewayProcess::ClientSink : public RequestSink
 {
 public:
-  explicit Callers(GatewayProcess& aProcess)
+  explicit ClientSink(GatewayProcess& aProcess)
     : mProcess(aProcess)
   {
   }
 
   void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) override
   {
-    const FieldNames& names = mProcess.mDialect.mNames;
+    const FieldNames& names = mProcess.mDialect.mFieldNames;
     dispatch::Arrival arrival;
     arrival.mId = aExchange;
     const std::string* id = FindField(aRequest.mFields, names.mRequestId);
@@ -84,10 +84,10 @@
     arrival.mPath = aRequest.mTarget;
     arrival.mContentDigest =
       ContentDigest(aRequest, mProcess.mSettings.mCallerFields);
-    const std::string* patience = FindField(aRequest.mFields, names.mPatience);
+    const std::string* timeout = FindField(aRequest.mFields, names.mTimeout);
     Poco::Int64 milliseconds = 0;
-    if (patience != nullptr &&
-        Poco::NumberParser::tryParse64(*patience, milliseconds)) {
+    if (timeout != nullptr &&
+        Poco::NumberParser::tryParse64(*timeout, milliseconds)) {
       arrival.mPatience = std::max<Micros>(1, milliseconds * kMillisecond);
     }
     Exchange& exchange = mProcess.mExchanges[aExchange];
@@ -96,7 +96,7 @@
     mProcess.Post(std::move(arrival));
   }
 
-  void OnGone(std::uint64_t aExchange) override
+  void OnClientDisconnected(std::uint64_t aExchange) override
   {
     mProcess.mExchanges.erase(aExchange);
     mProcess.Post(gateway::ClientGone{ aExchange });
@@ -114,21 +114,21 @@
   GatewayProcess& mProcess;
 };
 
-/// \brief Calls of targets, operators and directory clients.
-class GatewayProcess::Operators : public RequestSink
+/// \brief Receives calls from targets, operators and directory clients.
+class GatewayProcess::CallSink : public RequestSink
 {
 public:
-  explicit Operators(GatewayProcess& aProcess)
+  explicit CallSink(GatewayProcess& aProcess)
     : mProcess(aProcess)
   {
   }
 
   void OnRequest(std::uint64_t aExchange, HttpRequest aRequest) override
   {
-    mProcess.TakeCall(aExchange, aRequest);
+    mProcess.HandleCall(aExchange, aRequest);
   }
-  // An operation runs to its end without its caller.
-  void OnGone(std::uint64_t) override {}
+  // An operation completes even if its caller disconnects.
+  void OnClientDisconnected(std::uint64_t) override {}
   void OnMalformed(int aStatus, const std::string& aReason) override
   {
     edge::WriteLog(2,
@@ -146,15 +146,15 @@
   : mSettings(aSettings)
   , mDialect(aDialect)
   , mClockOffset(WallNow() - SteadyNow())
-  , mRandom(RandomWord())
-  , mTargets(mLoop, aDialect.mNames, *this)
-  , mCallerSink(std::make_unique<Callers>(*this))
-  , mOperatorSink(std::make_unique<Operators>(*this))
+  , mRandom(RandomUint64())
+  , mTargets(mLoop, aDialect.mFieldNames, *this)
+  , mClientSink(std::make_unique<ClientSink>(*this))
+  , mCallSink(std::make_unique<CallSink>(*this))
 {
   mNow = Now();
 }
 
-// Threads end first: they post into what else is here.
+// The threads are joined first because their callbacks use other members.
 GatewayProcess::~GatewayProcess()
 {
   mPeers.reset();
@@ -182,7 +182,7 @@
   settings.mFleet.mDataCentre = mSettings.mDataCentre;
   settings.mFleet.mIncarnation = static_cast<std::uint64_t>(WallNow());
   settings.mFleet.mControl = !mSettings.mDataFolder.empty();
-  settings.mFleet.mSeeds = SeedPeers(mSettings);
+  settings.mFleet.mSeeds = SeedPeerAddresses(mSettings);
   settings.mFleet.mToleratedLosses = mSettings.mToleratedLosses;
   settings.mBounds.mExtraRatio = mSettings.mExtraRatio;
   settings.mBounds.mExtraFloor = mSettings.mExtraFloor;
@@ -208,17 +208,18 @@
   std::snprintf(storage,
                 sizeof(storage),
                 "disk-%016llx",
-                static_cast<unsigned long long>(RandomWord()));
-  Result<OpenedDisk> disk = OpenDisk(mSettings.mDataFolder,
-                                     mSettings.mFounding && isSeed,
-                                     fleet::FoundingMembers(aFleet.mSeeds),
-                                     storage);
+                static_cast<unsigned long long>(RandomUint64()));
+  Result<RecoveredDisk> disk = OpenDisk(mSettings.mDataFolder,
+                                        mSettings.mFounding && isSeed,
+                                        fleet::FoundingMembers(aFleet.mSeeds),
+                                        storage);
   if (!disk) {
     return disk.error();
   }
-  if (disk.value().mCutBytes > 0) {
-    edge::WriteLog(
-      2, "event=log_tail_cut bytes=" + std::to_string(disk.value().mCutBytes));
+  if (disk.value().mTruncatedBytes > 0) {
+    edge::WriteLog(2,
+                   "event=log_tail_cut bytes=" +
+                     std::to_string(disk.value().mTruncatedBytes));
   }
   Result<std::unique_ptr<DiskWriter>> writer = DiskWriter::Open(
     mSettings.mDataFolder,
@@ -229,7 +230,7 @@
     },
     [this](const std::string& aReason) {
       const std::lock_guard<std::mutex> lock(mInboxMutex);
-      mInbox.mTroubles.push_back(aReason);
+      mInbox.mDiskErrors.push_back(aReason);
       mLoop.Wake();
     });
   if (!writer) {
@@ -253,13 +254,13 @@
       mInbox.mUnreadable += mPeerInbox.Put(aBytes, Now()) ? 0 : 1;
       mLoop.Wake();
     });
-  mCallerServer =
-    std::make_unique<HttpServer>(mLoop, mSettings.mCallerAddress, *mCallerSink);
+  mClientServer =
+    std::make_unique<HttpServer>(mLoop, mSettings.mCallerAddress, *mClientSink);
   std::vector<std::string> addresses = mSettings.mCallAddresses;
   addresses.push_back(mSettings.mMetricsAddress);
   for (const std::string& address : addresses) {
     mCallServers.push_back(
-      std::make_unique<HttpServer>(mLoop, address, *mOperatorSink));
+      std::make_unique<HttpServer>(mLoop, address, *mCallSink));
   }
   mNow = Now();
   TickConnections();
@@ -274,7 +275,7 @@
 void GatewayProcess::RequestStop()
 {
   Post(gateway::StopRequested{});
-  mCallerServer->BeginStop();
+  mClientServer->BeginStop();
 }
 
 void GatewayProcess::Perform(gateway::Effects aEffects)
@@ -288,19 +289,19 @@
 void GatewayProcess::UpdateLimits()
 {
   const auto& policy = mState.mDispatch.mPolicy;
-  if (policy && policy->mVersion != mPolicyVersion && mCallerServer) {
+  if (policy && policy->mVersion != mPolicyVersion && mClientServer) {
     mPolicyVersion = policy->mVersion;
-    mCallerServer->SetLimits(policy->mLimits);
+    mClientServer->SetLimits(policy->mLimits);
   }
 }
 
-void GatewayProcess::OnProbe(const dispatch::ProbeEnd& aEnd)
+void GatewayProcess::OnProbeResult(const dispatch::ProbeEnd& aEnd)
 {
   Post(aEnd);
 }
 
-void GatewayProcess::OnAttempt(dispatch::AttemptEnd aEnd,
-                               HttpResponse aResponse)
+void GatewayProcess::OnAttemptResult(dispatch::AttemptEnd aEnd,
+                                     HttpResponse aResponse)
 {
   const auto found = mExchanges.find(aEnd.mRequest);
   if (found != mExchanges.end() && aEnd.mKind == dispatch::EndKind::Answered) {
@@ -310,72 +311,70 @@
   Post(std::move(aEnd));
 }
 
-void GatewayProcess::TakeInbox()
+void GatewayProcess::ProcessInbox()
 {
   Inbox inbox;
   {
     const std::lock_guard<std::mutex> lock(mInboxMutex);
     std::swap(inbox, mInbox);
   }
-  for (const std::string& trouble : inbox.mTroubles) {
-    edge::WriteLog(trouble.empty() ? 1 : 3,
-                   trouble.empty()
-                     ? "event=disk_regained"
-                     : "event=disk_lost reason=\"" + trouble + "\"");
+  for (const std::string& error : inbox.mDiskErrors) {
+    edge::WriteLog(error.empty() ? 1 : 3,
+                   error.empty() ? "event=disk_regained"
+                                 : "event=disk_lost reason=\"" + error + "\"");
   }
   if (inbox.mSynced > 0) {
-    TakeSynced(inbox.mSynced);
+    HandleSynced(inbox.mSynced);
   }
   if (inbox.mUnreadable > 0) {
     edge::WriteLog(
       2, "event=message_unreadable count=" + std::to_string(inbox.mUnreadable));
   }
-  TakePeerMessages();
+  ProcessPeerMessages();
 }
 
-void GatewayProcess::TakeSynced(std::uint64_t aSequence)
+void GatewayProcess::HandleSynced(std::uint64_t aSequence)
 {
   while (!mUnsynced.empty() && mUnsynced.front().first <= aSequence) {
-    mLoad.NoteWait(Wait::Disk, mNow - mUnsynced.front().second);
+    mLoadMonitor.RecordWait(WaitKind::Disk, mNow - mUnsynced.front().second);
     mUnsynced.pop_front();
   }
   Post(gateway::DiskSynced{ aSequence });
-  mLoad.NoteWork(Work::Disk, 1);
+  mLoadMonitor.RecordWork(WorkKind::Disk, 1);
 }
 
-void GatewayProcess::TakePeerMessages()
+void GatewayProcess::ProcessPeerMessages()
 {
   std::vector<wire::FleetMessage> messages;
   {
     const std::lock_guard<std::mutex> lock(mInboxMutex);
-    mLoad.NoteWait(Wait::Inbox, mPeerInbox.LongestWait(mNow));
-    messages = mPeerInbox.Take(kPeerMessagesAtOnce);
+    mLoadMonitor.RecordWait(WaitKind::Inbox, mPeerInbox.LongestWait(mNow));
+    messages = mPeerInbox.Take(kMaxPeerMessagesPerIteration);
     if (!mPeerInbox.IsEmpty()) {
       mLoop.Wake();
     }
   }
   for (wire::FleetMessage& message : messages) {
-    const Work work = WorkOf(message);
+    const WorkKind work = WorkKindOf(message);
     Post(gateway::PeerMessage{ std::move(message) });
-    mLoad.NoteWork(work, 1);
+    mLoadMonitor.RecordWork(work, 1);
   }
 }
 
-// A loop that always has work keeps a small host's processor from the thread
-// that carries messages between hosts: a heartbeat that waits there is a lost
-// leader. So a loop that is late waits for that thread, for a bounded share of
-// the time.
-void GatewayProcess::LetMessagesPass(Micros aDue)
+// On a small host, a loop that is always busy starves the thread that carries
+// peer messages; a heartbeat delayed there costs the group its leader. A late
+// loop therefore yields to that thread for a bounded share of the time.
+void GatewayProcess::YieldToMessageThread(Micros aDueAt)
 {
-  const Micros late = std::max<Micros>(0, mNow - aDue);
-  const Micros unsent = mPeers->TakeLongestWait().count();
-  mLoad.NoteWait(Wait::Loop, late);
-  mLoad.NoteWait(Wait::Outbox, unsent);
-  const bool busy = std::max(late, unsent) > kLate;
-  if (busy && mNow >= mPassedAt + kPassPause) {
-    (void)mPeers->WaitForTurn(std::chrono::microseconds(kPassPatience));
+  const Micros lateness = std::max<Micros>(0, mNow - aDueAt);
+  const Micros sendDelay = mPeers->TakeLongestWait().count();
+  mLoadMonitor.RecordWait(WaitKind::Loop, lateness);
+  mLoadMonitor.RecordWait(WaitKind::Outbox, sendDelay);
+  const bool busy = std::max(lateness, sendDelay) > kLateThreshold;
+  if (busy && mNow >= mYieldedAt + kYieldInterval) {
+    (void)mPeers->WaitForTurn(std::chrono::microseconds(kMaxYield));
     mNow = Now();
-    mPassedAt = mNow;
+    mYieldedAt = mNow;
   }
 }
 
@@ -383,28 +382,28 @@
 {
   const Micros next = std::min(gateway::NextTick(mState), mNow + kLongestWait);
   const std::size_t handled = mLoop.RunOnce(Now(), next);
-  mLoad.NoteWork(Work::Connections, handled);
+  mLoadMonitor.RecordWork(WorkKind::Connections, handled);
   mNow = Now();
-  LetMessagesPass(next);
-  TakeInbox();
+  YieldToMessageThread(next);
+  ProcessInbox();
   if (mNow >= gateway::NextTick(mState) || mState.mStopping) {
-    const bool sending = mState.mStopping && mCallerServer->Sending();
+    const bool sending = mState.mStopping && mClientServer->HasUnsentAnswers();
     Post(gateway::TimePassed{ sending });
   }
   TickConnections();
-  mLoad.NoteWork(Work::Time, 1);
-  mLoad.EndRound();
-  if (const std::optional<std::string> line = mLoad.TakeLine(mNow)) {
+  mLoadMonitor.RecordWork(WorkKind::Time, 1);
+  mLoadMonitor.EndIteration();
+  if (const std::optional<std::string> line = mLoadMonitor.TakeLogLine(mNow)) {
     edge::WriteLog(2, *line);
   }
   return !mExited;
 }
 
-// Connections measure their times from the last of these calls.
+// Connections measure timeouts from the time of the last tick.
 void GatewayProcess::TickConnections()
 {
   mTargets.Tick(mNow);
-  mCallerServer->Tick(mNow);
+  mClientServer->Tick(mNow);
   for (const std::unique_ptr<HttpServer>& server : mCallServers) {
     server->Tick(mNow);
   }
--- a/src/frontend/gateway_process.h
+++ b/src/frontend/gateway_process.h
@@ -4,7 +4,7 @@
 #include "disk_writer.h"
 #include "event_loop.h"
 #include "http_server.h"
-#include "load_watch.h"
+#include "load_monitor.h"
 #include "metrics.h"
 #include "target_pool.h"
 
@@ -24,25 +24,27 @@
 
 namespace geraniumpond::frontend {
 
-/// \brief Performs a gateway reducer's effects and turns what happens into its
-/// events. No decision is made here.
+/// \brief Connects the gateway reducer to the operating system: carries out
+/// its effects and feeds it events. It makes no decisions itself.
 class GatewayProcess : private TargetSink
 {
 public:
   GatewayProcess(const GatewaySettings& aSettings, const Dialect& aDialect);
   ~GatewayProcess() override;
 
-  /// \brief Reads the disk, opens listeners, takes the first event.
+  /// \brief Recovers state from disk, opens the listeners, and starts the
+  /// reducer.
   [[nodiscard]] Result<bool> Start();
 
-  /// \brief Waits once and takes what happened; false when the end has come.
+  /// \brief Runs one iteration of the event loop; false once the process
+  /// should exit.
   [[nodiscard]] bool RunOnce();
 
-  /// \brief Asks for a planned stop; later calls change nothing.
+  /// \brief Starts a graceful shutdown; later calls have no effect.
   void RequestStop();
 
 private:
-  /// \brief A client's request while it is here.
+  /// \brief A client's request that has not been answered yet.
   struct Exchange
   {
     HttpRequest mRequest;
@@ -51,18 +53,19 @@
     std::uint64_t mAnsweredBy = 0;
   };
 
-  /// \brief Where a read of the policy was sent to.
-  struct ReadUrl
+  /// \brief The host and request target of a policy read, kept for a redirect.
+  struct PolicyReadUrl
   {
     std::string mHost;
     std::string mTarget;
   };
 
-  class Callers;
-  class Operators;
+  class ClientSink;
+  class CallSink;
 
-  void OnProbe(const dispatch::ProbeEnd& aEnd) override;
-  void OnAttempt(dispatch::AttemptEnd aEnd, HttpResponse aResponse) override;
+  void OnProbeResult(const dispatch::ProbeEnd& aEnd) override;
+  void OnAttemptResult(dispatch::AttemptEnd aEnd,
+                       HttpResponse aResponse) override;
 
   template<class Body>
   void Post(Body aBody);
@@ -81,20 +84,20 @@
   [[nodiscard]] Result<consensus::Recovered> OpenStorage(
     const fleet::Settings& aFleet);
   [[nodiscard]] gateway::Settings ReducerSettings() const;
-  void TakeInbox();
-  void TakeSynced(std::uint64_t aSequence);
-  void TakePeerMessages();
-  void LetMessagesPass(Micros aDue);
+  void ProcessInbox();
+  void HandleSynced(std::uint64_t aSequence);
+  void ProcessPeerMessages();
+  void YieldToMessageThread(Micros aDueAt);
   void TickConnections();
-  void TakeCall(std::uint64_t aExchange, const HttpRequest& aRequest);
-  void TakeRead(std::uint64_t aExchange, const HttpRequest& aRequest);
+  void HandleCall(std::uint64_t aExchange, const HttpRequest& aRequest);
+  void HandlePolicyRead(std::uint64_t aExchange, const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse RedirectTo(const std::string& aPeerAddress,
-                                        const ReadUrl& aUrl) const;
-  void AnswerCall(std::uint64_t aExchange, const HttpResponse& aResponse);
+                                        const PolicyReadUrl& aUrl) const;
+  void RespondToCall(std::uint64_t aExchange, const HttpResponse& aResponse);
   [[nodiscard]] std::string MetricsText();
   [[nodiscard]] Micros Now() const;
   [[nodiscard]] std::uint64_t NextRandom();
-  void Answer(std::uint64_t aExchange, const HttpResponse& aResponse);
+  void RespondToClient(std::uint64_t aExchange, const HttpResponse& aResponse);
   void UpdateLimits();
 
   GatewaySettings mSettings;
@@ -109,23 +112,23 @@
   bool mOpened = false;
   TargetPool mTargets;
   Metrics mMetrics;
-  LoadWatch mLoad{ mMetrics };
-  /// Writes that are not known to be on disk, by sequence, and since when.
+  LoadMonitor mLoadMonitor{ mMetrics };
+  /// Writes that are not yet synced: sequence and start time.
   std::deque<std::pair<std::uint64_t, Micros>> mUnsynced;
-  std::unique_ptr<Callers> mCallerSink;
-  std::unique_ptr<Operators> mOperatorSink;
-  std::unique_ptr<HttpServer> mCallerServer;
+  std::unique_ptr<ClientSink> mClientSink;
+  std::unique_ptr<CallSink> mCallSink;
+  std::unique_ptr<HttpServer> mClientServer;
   std::vector<std::unique_ptr<HttpServer>> mCallServers;
   std::unordered_map<std::uint64_t, Exchange> mExchanges;
-  /// Of reads that have not ended.
-  std::unordered_map<std::uint64_t, ReadUrl> mReadUrls;
+  /// By exchange, for policy reads that are still in progress.
+  std::unordered_map<std::uint64_t, PolicyReadUrl> mPolicyReadUrls;
   std::uint64_t mPolicyVersion = 0;
 
-  /// What other threads bring: messages of hosts, ends of writes.
+  /// Results posted by other threads, guarded by mInboxMutex.
   struct Inbox
   {
     std::uint64_t mSynced = 0;
-    std::vector<std::string> mTroubles;
+    std::vector<std::string> mDiskErrors;
     std::uint64_t mUnreadable = 0;
   };
   std::mutex mInboxMutex;
@@ -133,8 +136,8 @@
   fleet::Inbox mPeerInbox;
   std::unique_ptr<DiskWriter> mDisk;
   std::unique_ptr<edge::Peers> mPeers;
-  /// When the thread of messages was last waited for.
-  Micros mPassedAt = 0;
+  /// When the loop last yielded to the thread that carries peer messages.
+  Micros mYieldedAt = 0;
 };
 
 template<class Body>
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -13,21 +13,21 @@
 namespace {
 
 constexpr int kBacklog = 512;
-/// Connections that are accepted before others have their turn.
-constexpr std::size_t kAcceptedAtOnce = 64;
-/// Requests of one connection that are taken side by side.
+/// Connections accepted in one iteration before other descriptors are served.
+constexpr std::size_t kMaxAcceptsPerIteration = 64;
+/// Requests of one connection that are handled concurrently.
 constexpr std::size_t kMaxPipelined = 16;
-/// Answer bytes that may wait for a slow client before it is read no further.
+/// Unsent answer bytes at which reading from a slow client is paused.
 constexpr std::size_t kMaxUnsent = 4 * 1024 * 1024;
-/// Pace at which connections are looked through for late ones.
-constexpr Micros kSweepInterval = 250 * kMillisecond;
-/// How long a closed connection is drained: closing it with unread bytes would
-/// reset it and take the last answer along.
-constexpr Micros kDrainTime = 1 * kSecond;
+/// How often connections are checked for timeouts.
+constexpr Micros kTimeoutCheckInterval = 250 * kMillisecond;
+/// How long input is discarded before a connection is closed: closing a socket
+/// with unread bytes resets the connection, and the last answer would be lost.
+constexpr Micros kLingerTimeout = 1 * kSecond;
 
 } // namespace
 
-std::uint64_t NextExchange() noexcept
+std::uint64_t NextExchangeId() noexcept
 {
   static std::uint64_t last = 0;
   return ++last;
@@ -43,44 +43,44 @@
     : mServer(aServer)
     , mId(aId)
     , mSocket(aServer.mLoop, aSocket)
-    , mChangedAt(aServer.mNow)
+    , mLastActivityAt(aServer.mNow)
   {
     mSocket.Watch(*this, false);
   }
 
   void OnPeerClosed() override { mPeerClosed = true; }
 
-  // A request that came together with the end of its connection is not taken:
-  // its client has given up while it waited here, and a target would work for
-  // nobody.
+  // A request that arrives together with the end of its connection is dropped:
+  // its client gave up while the request waited here, and nobody would receive
+  // the answer of a target.
   void OnReadable() override
   {
-    const Received received = mSocket.Receive();
-    if (mDraining) {
-      mSocket.In().clear();
-      if (received == Received::End || received == Received::Reset) {
-        End();
+    const ReceiveResult received = mSocket.Receive();
+    if (mLingering) {
+      mSocket.Input().clear();
+      if (received == ReceiveResult::End || received == ReceiveResult::Reset) {
+        Close();
       }
       return;
     }
-    if (received == Received::Some) {
-      mChangedAt = mServer.mNow;
+    if (received == ReceiveResult::Data) {
+      mLastActivityAt = mServer.mNow;
     }
-    if (received == Received::Reset || received == Received::End ||
+    if (received == ReceiveResult::Reset || received == ReceiveResult::End ||
         mPeerClosed) {
-      End();
+      Close();
       return;
     }
-    TakeRequests();
+    ReadRequests();
   }
 
   void OnWritable() override
   {
     if (!mSocket.Flush()) {
-      End();
+      Close();
       return;
     }
-    AfterSending();
+    ContinueAfterSend();
   }
 
   void Respond(std::uint64_t aExchange, const HttpResponse& aResponse)
@@ -88,7 +88,7 @@
     for (Pending& pending : mPending) {
       if (pending.mExchange == aExchange) {
         const bool close =
-          pending.mClose || mServer.mStopping || mCloseAfterFault;
+          pending.mClose || mServer.mStopping || mCloseAfterError;
         pending.mBytes = Serialize(aResponse, close, pending.mHeadOnly);
         pending.mClose = close;
         pending.mAnswered = true;
@@ -97,42 +97,42 @@
     SendAnswered();
   }
 
-  void Sweep(Micros aNow)
+  void CheckTimeouts(Micros aNow)
   {
     const policy::RequestLimits& limits = mServer.mLimits;
-    if (mDraining) {
-      if (aNow - mChangedAt > kDrainTime) {
-        End();
+    if (mLingering) {
+      if (aNow - mLastActivityAt > kLingerTimeout) {
+        Close();
       }
       return;
     }
     if (!mPending.empty() || mSocket.Unsent() > 0) {
       return;
     }
-    const bool partial = mReader.InBody() || !mSocket.In().empty();
+    const bool partial = mReader.InBody() || !mSocket.Input().empty();
     const Micros bound = partial ? limits.mHeaderTimeout : limits.mIdleTimeout;
-    if (aNow - mChangedAt <= bound) {
+    if (aNow - mLastActivityAt <= bound) {
       return;
     }
     if (partial) {
-      Fault(408, "request not whole in time");
+      RejectMalformed(408, "request incomplete at its timeout");
     } else {
-      BeginDrain();
+      BeginLingeringClose();
     }
   }
 
   void CloseIfIdle()
   {
-    const bool partial = mReader.InBody() || !mSocket.In().empty();
-    if (!mDraining && mPending.empty() && mSocket.Unsent() == 0 && !partial) {
-      BeginDrain();
+    const bool partial = mReader.InBody() || !mSocket.Input().empty();
+    if (!mLingering && mPending.empty() && mSocket.Unsent() == 0 && !partial) {
+      BeginLingeringClose();
     }
   }
 
   [[nodiscard]] std::uint64_t Id() const noexcept { return mId; }
-  [[nodiscard]] bool Sending() const
+  [[nodiscard]] bool HasUnsentAnswers() const
   {
-    return mSocket.Unsent() > 0 || mDraining;
+    return mSocket.Unsent() > 0 || mLingering;
   }
 
 private:
@@ -145,39 +145,39 @@
     std::string mBytes;
   };
 
-  void TakeRequests()
+  void ReadRequests()
   {
-    while (!mSocket.Closed() && !mDraining && !mCloseAfterFault &&
-           !mLastTaken && mPending.size() < kMaxPipelined) {
-      const ReadStatus status = mReader.Read(mSocket.In(), mServer.mLimits);
-      if (mReader.TakeContinue() && status == ReadStatus::Partial) {
+    while (!mSocket.Closed() && !mLingering && !mCloseAfterError &&
+           !mLastRequestRead && mPending.size() < kMaxPipelined) {
+      const ReadStatus status = mReader.Read(mSocket.Input(), mServer.mLimits);
+      if (mReader.TakeExpectContinue() && status == ReadStatus::Partial) {
         (void)mSocket.Send("HTTP/1.1 100 Continue\r\n\r\n");
       }
       if (status == ReadStatus::Malformed) {
-        Fault(mReader.FaultStatus(), mReader.Fault());
+        RejectMalformed(mReader.ErrorStatus(), mReader.ErrorReason());
         return;
       }
       if (status == ReadStatus::Partial) {
         break;
       }
       HttpRequest request = mReader.Take();
-      const std::uint64_t exchange = NextExchange();
+      const std::uint64_t exchange = NextExchangeId();
       mPending.push_back({ exchange,
                            request.mMethod == "HEAD",
                            !request.mKeepAlive,
                            false,
                            "" });
-      mLastTaken = !request.mKeepAlive;
+      mLastRequestRead = !request.mKeepAlive;
       mServer.mExchanges[exchange] = this;
       mServer.mSink.OnRequest(exchange, std::move(request));
     }
-    mSocket.Pause(!mDraining && mSocket.Unsent() > kMaxUnsent);
+    mSocket.PauseReading(!mLingering && mSocket.Unsent() > kMaxUnsent);
   }
 
-  void Fault(int aStatus, const std::string& aReason)
+  void RejectMalformed(int aStatus, const std::string& aReason)
   {
     mServer.mSink.OnMalformed(aStatus, aReason);
-    mCloseAfterFault = true;
+    mCloseAfterError = true;
     HttpResponse response = MakeResponse(aStatus, "text/plain", aReason + "\n");
     mPending.push_back({ 0, false, true, true, "" });
     mPending.back().mBytes = Serialize(response, true, false);
@@ -190,63 +190,63 @@
       Pending pending = std::move(mPending.front());
       mPending.pop_front();
       mServer.mExchanges.erase(pending.mExchange);
-      mChangedAt = mServer.mNow;
+      mLastActivityAt = mServer.mNow;
       if (!mSocket.Send(std::move(pending.mBytes))) {
-        End();
+        Close();
         return;
       }
       if (pending.mClose) {
         mClosing = true;
-        LeaveUnread();
+        DropPending();
         break;
       }
     }
-    AfterSending();
+    ContinueAfterSend();
   }
 
-  // What was sent behind a last answer counts as not read.
-  void LeaveUnread()
+  // Requests behind the last answer of a connection will not be answered.
+  void DropPending()
   {
-    const std::deque<Pending> unread = std::exchange(mPending, {});
-    for (const Pending& pending : unread) {
+    const std::deque<Pending> dropped = std::exchange(mPending, {});
+    for (const Pending& pending : dropped) {
       if (mServer.mExchanges.erase(pending.mExchange) != 0) {
-        mServer.mSink.OnGone(pending.mExchange);
+        mServer.mSink.OnClientDisconnected(pending.mExchange);
       }
     }
   }
 
-  void AfterSending()
+  void ContinueAfterSend()
   {
-    if (mSocket.Closed() || mDraining) {
+    if (mSocket.Closed() || mLingering) {
       return;
     }
     if (mClosing) {
       if (mSocket.Unsent() == 0) {
-        BeginDrain();
+        BeginLingeringClose();
       }
       return;
     }
-    if (!mSocket.In().empty()) {
-      TakeRequests();
+    if (!mSocket.Input().empty()) {
+      ReadRequests();
     }
   }
 
-  void BeginDrain()
+  void BeginLingeringClose()
   {
-    mDraining = true;
-    mChangedAt = mServer.mNow;
-    mSocket.In().clear();
-    mSocket.Pause(false);
-    mSocket.FinishSending();
+    mLingering = true;
+    mLastActivityAt = mServer.mNow;
+    mSocket.Input().clear();
+    mSocket.PauseReading(false);
+    mSocket.ShutdownSend();
   }
 
-  void End()
+  void Close()
   {
     if (mSocket.Closed()) {
       return;
     }
     mSocket.Close();
-    LeaveUnread();
+    DropPending();
     mServer.Retire(*this);
   }
 
@@ -255,11 +255,11 @@
   BufferedSocket mSocket;
   RequestReader mReader;
   std::deque<Pending> mPending;
-  Micros mChangedAt = 0;
-  bool mLastTaken = false;
-  bool mCloseAfterFault = false;
+  Micros mLastActivityAt = 0;
+  bool mLastRequestRead = false;
+  bool mCloseAfterError = false;
   bool mClosing = false;
-  bool mDraining = false;
+  bool mLingering = false;
   bool mPeerClosed = false;
 };
 
@@ -280,16 +280,16 @@
   mLoop.Remove(mSocket.impl()->sockfd(), *this);
 }
 
-// All that wait, up to a bound: a busy loop's rounds are long, and clients that
-// wait to be accepted are not seen, while their deadlines pass. Accepted
-// without POCO, which throws when none waits.
+// Accepts all waiting connections up to a bound: iterations of a busy loop are
+// long, and deadlines of clients pass unnoticed in the accept queue. Calls
+// accept() directly because POCO throws when no connection waits.
 void HttpServer::OnReadable()
 {
-  for (std::size_t i = 0; i < kAcceptedAtOnce; ++i) {
+  for (std::size_t i = 0; i < kMaxAcceptsPerIteration; ++i) {
     const int descriptor = ::accept(mSocket.impl()->sockfd(), nullptr, nullptr);
     if (descriptor < 0) {
-      // None is left, it is gone already, or descriptors have run out: the next
-      // call tries again.
+      // No connection is left, it was reset already, or the process is out of
+      // descriptors; the next call tries again.
       return;
     }
     const Poco::Net::StreamSocket socket(
@@ -297,7 +297,7 @@
     try {
       Accept(socket);
     } catch (const Poco::Exception&) {
-      // The client has reset it already.
+      // The client has already reset the connection.
     }
   }
 }
@@ -307,7 +307,7 @@
   Poco::Net::StreamSocket socket(aSocket);
   socket.setBlocking(false);
   socket.setNoDelay(true);
-  const std::uint64_t id = ++mLastConnection;
+  const std::uint64_t id = ++mLastConnectionId;
   mConnections[id] = std::make_unique<Connection>(*this, id, socket);
 }
 
@@ -315,7 +315,7 @@
 {
   const auto found = mConnections.find(aConnection.Id());
   if (found != mConnections.end()) {
-    mRetired.push_back(std::move(found->second));
+    mClosedConnections.push_back(std::move(found->second));
     mConnections.erase(found);
   }
 }
@@ -328,11 +328,11 @@
   }
 }
 
-bool HttpServer::Sending() const
+bool HttpServer::HasUnsentAnswers() const
 {
   return std::any_of(
     mConnections.begin(), mConnections.end(), [](const auto& aEntry) {
-      return aEntry.second->Sending();
+      return aEntry.second->HasUnsentAnswers();
     });
 }
 
@@ -350,17 +350,17 @@
 void HttpServer::Tick(Micros aNow)
 {
   mNow = aNow;
-  mRetired.clear();
-  if (aNow < mSweptAt + kSweepInterval) {
+  mClosedConnections.clear();
+  if (aNow < mTimeoutsCheckedAt + kTimeoutCheckInterval) {
     return;
   }
-  mSweptAt = aNow;
+  mTimeoutsCheckedAt = aNow;
   std::vector<Connection*> all;
   for (const auto& [id, connection] : mConnections) {
     all.push_back(connection.get());
   }
   for (Connection* connection : all) {
-    connection->Sweep(aNow);
+    connection->CheckTimeouts(aNow);
   }
 }
 
--- a/src/frontend/own_dialect.cpp
+++ b/src/frontend/native_dialect.cpp
@@ -1,4 +1,4 @@
-#include "own_dialect.h"
+#include "native_dialect.h"
 
 #include "quarantine_calls.h"
 
@@ -26,7 +26,8 @@
   return text.str();
 }
 
-wire::TargetRecord RecordOf(const std::string& aId, const std::string& aBody)
+wire::TargetRecord ParseTargetRecord(const std::string& aId,
+                                     const std::string& aBody)
 {
   Poco::JSON::Parser parser;
   const Object::Ptr body = parser.parse(aBody).extract<Object::Ptr>();
@@ -44,8 +45,9 @@
   return record;
 }
 
-// A target may say which of its incarnations leaves.
-wire::RemoveTarget RemovalOf(const std::string& aId, const std::string& aBody)
+// A target may name the incarnation that leaves by its start time.
+wire::RemoveTarget ParseRemoval(const std::string& aId,
+                                const std::string& aBody)
 {
   wire::RemoveTarget removal;
   removal.set_id(aId);
@@ -57,80 +59,80 @@
   return removal;
 }
 
-Call ReadTargetCall(const HttpRequest& aRequest, const std::string& aId)
+Call ParseTargetCall(const HttpRequest& aRequest, const std::string& aId)
 {
   if (aRequest.mMethod == "PUT") {
-    return CallAnnounce{ RecordOf(aId, aRequest.mBody) };
+    return RegisterTargetCall{ ParseTargetRecord(aId, aRequest.mBody) };
   }
   if (aRequest.mMethod == "DELETE") {
-    return CallWithdraw{ RemovalOf(aId, aRequest.mBody) };
+    return RemoveTargetCall{ ParseRemoval(aId, aRequest.mBody) };
   }
-  return CallInvalid{ 405, "targets take PUT and DELETE" };
+  return InvalidCall{ 405, "targets support PUT and DELETE" };
 }
 
-Call ReadPath(const HttpRequest& aRequest)
+Call ParsePath(const HttpRequest& aRequest)
 {
   const Poco::URI uri(aRequest.mTarget);
   const std::string& path = uri.getPath();
   if (path.compare(0, kTargets.size(), kTargets) == 0 &&
       path.size() > kTargets.size()) {
-    return ReadTargetCall(aRequest, path.substr(kTargets.size()));
+    return ParseTargetCall(aRequest, path.substr(kTargets.size()));
   }
   if (path == "/policy") {
     if (aRequest.mMethod == "PUT") {
-      return CallPutPolicy{ aRequest.mBody };
+      return PutPolicyCall{ aRequest.mBody };
     }
-    return CallReadPolicy{};
+    return ReadPolicyCall{};
   }
   if (path == "/resolve") {
     for (const auto& [name, value] : uri.getQueryParameters()) {
       if (name == "data_centre") {
-        return CallResolve{ value };
+        return ResolveCall{ value };
       }
     }
-    return CallResolve{};
+    return ResolveCall{};
   }
   if (path == "/ready") {
-    return CallReady{};
+    return ReadinessCall{};
   }
   if (path == "/metrics") {
-    return CallMetrics{};
+    return MetricsCall{};
   }
-  if (std::optional<Call> call = ReadQuarantineCall(aRequest.mMethod, path)) {
+  if (std::optional<Call> call = ParseQuarantineCall(aRequest.mMethod, path)) {
     return *call;
   }
-  return CallInvalid{ 404, "no such call" };
+  return InvalidCall{ 404, "unknown call" };
 }
 
-Call ReadCall(const HttpRequest& aRequest)
+Call ParseCall(const HttpRequest& aRequest)
 {
   try {
-    return ReadPath(aRequest);
+    return ParsePath(aRequest);
   } catch (const Poco::Exception& error) {
-    return CallInvalid{ 400, error.displayText() };
+    return InvalidCall{ 400, error.displayText() };
   }
 }
 
-HttpResponse WriteEnd(const gateway::AnswerOperation& aEnd)
+HttpResponse MakeOperationResponse(const gateway::AnswerOperation& aResult)
 {
   using gateway::OperationOutcome;
-  if (aEnd.mEnd == OperationOutcome::Done) {
-    return MakeResponse(200, "text/plain", aEnd.mDocument);
+  if (aResult.mEnd == OperationOutcome::Done) {
+    return MakeResponse(200, "text/plain", aResult.mDocument);
   }
   Object error;
-  error.set("error", gateway::ToString(aEnd.mEnd));
-  error.set("message", aEnd.mReason);
+  error.set("error", gateway::ToString(aResult.mEnd));
+  error.set("message", aResult.mReason);
   int status = 503;
-  if (aEnd.mEnd == OperationOutcome::Invalid) {
+  if (aResult.mEnd == OperationOutcome::Invalid) {
     status = 400;
-  } else if (aEnd.mEnd == OperationOutcome::Conflict) {
+  } else if (aResult.mEnd == OperationOutcome::Conflict) {
     status = 409;
   }
   return MakeResponse(status, kJson, ToText(error));
 }
 
-HttpResponse WriteAddresses(const std::vector<std::string>& aAddresses,
-                            Micros aKeep)
+HttpResponse MakeAddressResponse(const std::vector<std::string>& aAddresses,
+                                 Micros aTtl)
 {
   Poco::JSON::Array::Ptr addresses = new Poco::JSON::Array;
   for (const std::string& address : aAddresses) {
@@ -138,25 +140,25 @@
   }
   Object answer;
   answer.set("addresses", addresses);
-  answer.set("keep_ms", aKeep / kMillisecond);
+  answer.set("keep_ms", aTtl / kMillisecond);
   return MakeResponse(200, kJson, ToText(answer));
 }
 
 } // namespace
 
-Dialect OwnDialect()
+Dialect NativeDialect()
 {
   Dialect dialect;
-  dialect.mNames.mRequestId = "Request-Id";
-  dialect.mNames.mPatience = "Patience-Ms";
-  dialect.mNames.mExpectedTarget = "Expected-Target";
-  dialect.mNames.mNotRun = "Not-Run";
-  dialect.mNames.mTargetId = "Target-Id";
-  dialect.mNames.mLoad = "Target-Load";
-  dialect.mNames.mLimit = "Target-Limit";
-  dialect.mReadCall = ReadCall;
-  dialect.mWriteEnd = WriteEnd;
-  dialect.mWriteAddresses = WriteAddresses;
+  dialect.mFieldNames.mRequestId = "Request-Id";
+  dialect.mFieldNames.mTimeout = "Patience-Ms";
+  dialect.mFieldNames.mExpectedTarget = "Expected-Target";
+  dialect.mFieldNames.mNotRun = "Not-Run";
+  dialect.mFieldNames.mTargetId = "Target-Id";
+  dialect.mFieldNames.mLoad = "Target-Load";
+  dialect.mFieldNames.mLimit = "Target-Limit";
+  dialect.mParseCall = ParseCall;
+  dialect.mMakeOperationResponse = MakeOperationResponse;
+  dialect.mMakeAddressResponse = MakeAddressResponse;
   dialect.mDecodePolicy = policy::DecodePolicyFile;
   return dialect;
 }
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -30,11 +30,11 @@
 
 } // namespace
 
-std::optional<Call> ReadQuarantineCall(const std::string& aMethod,
-                                       const std::string& aPath)
+std::optional<Call> ParseQuarantineCall(const std::string& aMethod,
+                                        const std::string& aPath)
 {
   if (aPath == kPath && aMethod == "GET") {
-    return CallQuarantine{};
+    return ListQuarantineCall{};
   }
   if (aMethod != "DELETE" || aPath.size() <= kPath.size() + 1 ||
       aPath.compare(0, kPath.size(), kPath) != 0 ||
@@ -44,12 +44,14 @@
   Poco::UInt64 identity = 0;
   if (!Poco::NumberParser::tryParseHex64(aPath.substr(kPath.size() + 1),
                                          identity)) {
-    return CallInvalid{ 400, "an identity has 16 hexadecimal digits" };
+    return InvalidCall{
+      400, "the request identity must have 16 hexadecimal digits"
+    };
   }
-  return CallRelease{ identity };
+  return ReleaseRequestCall{ identity };
 }
 
-std::string QuarantineText(const quarantine::State& aState, Micros aNow)
+std::string QuarantineJson(const quarantine::State& aState, Micros aNow)
 {
   Array::Ptr requests = new Array;
   for (const auto& [identity, record] : aState.mRecords) {
@@ -77,9 +79,9 @@
   return text.str();
 }
 
-void CountVerdicts(const quarantine::State& aState,
-                   Micros aNow,
-                   std::map<std::string, double>& aGauges)
+void AddVerdictGauges(const quarantine::State& aState,
+                      Micros aNow,
+                      std::map<std::string, double>& aGauges)
 {
   double& suspected = aGauges["requests_suspected"];
   double& quarantined = aGauges["requests_quarantined"];
--- a/src/frontend/socket.cpp
+++ b/src/frontend/socket.cpp
@@ -44,29 +44,30 @@
   }
 }
 
-// POCO throws on a reset, which is ordinary here.
-Received BufferedSocket::Receive()
+// Calls recv() directly because POCO throws on a connection reset, which is a
+// normal event here.
+ReceiveResult BufferedSocket::Receive()
 {
   std::array<char, kReadBytes> bytes{};
-  Received result = Received::Nothing;
+  ReceiveResult result = ReceiveResult::WouldBlock;
   while (true) {
     const ssize_t count = ::recv(Descriptor(), bytes.data(), bytes.size(), 0);
     if (count > 0) {
       mIn.append(bytes.data(), static_cast<std::size_t>(count));
-      result = Received::Some;
+      result = ReceiveResult::Data;
       if (static_cast<std::size_t>(count) < bytes.size()) {
         return result;
       }
       continue;
     }
     if (count == 0) {
-      return Received::End;
+      return ReceiveResult::End;
     }
     if (errno == EINTR) {
       continue;
     }
     const bool empty = errno == EAGAIN || errno == EWOULDBLOCK;
-    return empty ? result : Received::Reset;
+    return empty ? result : ReceiveResult::Reset;
   }
 }
 
@@ -119,15 +120,15 @@
   return error;
 }
 
-void BufferedSocket::FinishSending()
+void BufferedSocket::ShutdownSend()
 {
   (void)::shutdown(Descriptor(), SHUT_WR);
 }
 
-void BufferedSocket::Pause(bool aPaused)
+void BufferedSocket::PauseReading(bool aPaused)
 {
   if (mHandler != nullptr) {
-    mLoop.Pause(Descriptor(), *mHandler, aPaused);
+    mLoop.PauseReading(Descriptor(), *mHandler, aPaused);
   }
 }
 
--- a/src/frontend/target_pool.cpp
+++ b/src/frontend/target_pool.cpp
@@ -18,25 +18,26 @@
 
 namespace {
 
-/// A connect takes a trip or two; a lost opening packet costs a second, so
-/// that another target is tried before.
-constexpr Micros kConnectPatience = 300 * kMillisecond;
-/// A target that leaves a probe unanswered for this long is taken for silent:
-/// well over any trip, well under the shortest deadline.
-constexpr Micros kProbePatience = 400 * kMillisecond;
-/// A connection on which an answer came this lately is alive.
-constexpr Micros kProvenAge = 100 * kMillisecond;
-/// Idle connections are used up to this share of the time that their target
-/// keeps them, or for this long where it does not say.
-constexpr double kIdleShare = 0.8;
-constexpr Micros kIdleUnsaid = 3 * kSecond;
-constexpr std::size_t kIdlePerTarget = 4;
-constexpr Micros kSweepInterval = 50 * kMillisecond;
-/// Bytes that are not acknowledged within this time end a connection.
+/// A connect takes one or two round trips. A lost SYN is resent after a second
+/// only, so another target is tried before that.
+constexpr Micros kConnectTimeout = 300 * kMillisecond;
+/// A target that does not answer a probe in this time counts as unresponsive:
+/// well above any round trip, well below the shortest deadline.
+constexpr Micros kProbeTimeout = 400 * kMillisecond;
+/// A connection that received an answer this recently counts as alive.
+constexpr Micros kProvenMaxAge = 100 * kMillisecond;
+/// Idle connections are reused for this fraction of the keep-alive timeout that
+/// their target states, or for the default timeout if it states none.
+constexpr double kIdleTimeoutFraction = 0.8;
+constexpr Micros kDefaultIdleTimeout = 3 * kSecond;
+constexpr std::size_t kMaxIdlePerTarget = 4;
+constexpr Micros kTimeoutCheckInterval = 50 * kMillisecond;
+/// TCP_USER_TIMEOUT: a connection ends when sent bytes stay unacknowledged for
+/// this long.
 constexpr int kUserTimeoutMs = 2000;
-constexpr int kHealthy = 200;
-constexpr int kMisdirected = 421;
-constexpr int kNotSuccess = 300;
+constexpr int kStatusOk = 200;
+constexpr int kStatusMisdirected = 421;
+constexpr int kFirstNonSuccessStatus = 300;
 
 } // namespace
 
@@ -49,12 +50,12 @@
   }
   dispatch::Report report;
   int percent = 100;
-  const bool sound =
+  const bool valid =
     Poco::NumberParser::tryParse(parts[0], report.mRunning) &&
     Poco::NumberParser::tryParse(parts[1], report.mWaiting) &&
     Poco::NumberParser::tryParse(parts[2], report.mSlots) &&
     (parts.count() < 4 || Poco::NumberParser::tryParse(parts[3], percent));
-  if (!sound || report.mRunning < 0 || report.mWaiting < 0 ||
+  if (!valid || report.mRunning < 0 || report.mWaiting < 0 ||
       report.mSlots < 1 || percent < 1) {
     return std::nullopt;
   }
@@ -62,8 +63,8 @@
   return report;
 }
 
-dispatch::StatedLimit ReadLimit(const HeaderFields& aFields,
-                                const std::string& aName)
+dispatch::StatedLimit ParseLimit(const HeaderFields& aFields,
+                                 const std::string& aName)
 {
   using Kind = dispatch::StatedLimit::Kind;
   const std::string* value = FindField(aFields, aName);
@@ -76,15 +77,15 @@
   const auto read = std::from_chars(text.data(), end, perSecond);
   const auto named =
     std::count_if(aFields.begin(), aFields.end(), [&](const auto& aField) {
-      return SameName(aField.first, aName);
+      return EqualIgnoringCase(aField.first, aName);
     });
-  const bool sound = named == 1 && read.ec == std::errc() && read.ptr == end &&
+  const bool valid = named == 1 && read.ec == std::errc() && read.ptr == end &&
                      std::isfinite(perSecond) && perSecond >= 0;
-  return sound ? dispatch::StatedLimit{ Kind::Valid, perSecond }
+  return valid ? dispatch::StatedLimit{ Kind::Valid, perSecond }
                : dispatch::StatedLimit{ Kind::Invalid, 0 };
 }
 
-/// \brief One connection to one target; carries one exchange at a time.
+/// \brief A connection to one target; carries one exchange at a time.
 class TargetPool::Connection : public Handler
 {
 public:
@@ -118,15 +119,15 @@
     Start("GET " + aPath + " HTTP/1.1\r\nHost: " + mAddress + "\r\n\r\n");
   }
 
-  void StartAttempt(Shipment aShipment)
+  void StartAttempt(OutboundRequest aRequest)
   {
     mJob = Job::Attempt;
-    mRequest = aShipment.mRequest;
-    mAttempt = aShipment.mAttempt;
-    mRequestId = std::move(aShipment.mRequestId);
-    mHeadOnly = aShipment.mHeadOnly;
+    mRequest = aRequest.mRequest;
+    mAttempt = aRequest.mAttempt;
+    mRequestId = std::move(aRequest.mRequestId);
+    mHeadOnly = aRequest.mHeadOnly;
     mPool.mAttempts[mAttempt] = this;
-    Start(std::move(aShipment.mBytes));
+    Start(std::move(aRequest.mBytes));
   }
 
   void OnWritable() override
@@ -138,7 +139,7 @@
         return;
       }
       mConnecting = false;
-      SendFirst(std::move(mUnsent));
+      SendRequestBytes(std::move(mPendingBytes));
       return;
     }
     if (!mSocket.Flush()) {
@@ -154,46 +155,46 @@
         return;
       }
     }
-    const Received received = mSocket.Receive();
+    const ReceiveResult received = mSocket.Receive();
     if (mJob == Job::None) {
-      // Bytes that nobody asked for, or the target's end of an idle time.
-      if (received != Received::Nothing) {
-        End();
+      // Either unsolicited bytes, or the target closed an idle connection.
+      if (received != ReceiveResult::WouldBlock) {
+        Close();
       }
       return;
     }
-    if (Read()) {
+    if (ReadAnswers()) {
       return;
     }
-    if (received == Received::End) {
-      if (mReader.End() == ReadStatus::Complete) {
+    if (received == ReceiveResult::End) {
+      if (mReader.OnConnectionEnd() == ReadStatus::Complete) {
         Finish();
       } else {
         Fail("closed_early");
       }
-    } else if (received == Received::Reset) {
+    } else if (received == ReceiveResult::Reset) {
       Fail("reset");
     }
   }
 
-  /// \brief Ends what takes too long.
-  void Sweep(Micros aNow)
+  /// \brief Ends a connect, probe or idle time that has timed out.
+  void CheckTimeouts(Micros aNow)
   {
-    if (mConnecting && aNow - mStartedAt > kConnectPatience) {
+    if (mConnecting && aNow - mStartedAt > kConnectTimeout) {
       Fail("connect_timeout");
       return;
     }
-    if (mJob == Job::Probe && aNow - mStartedAt > kProbePatience) {
+    if (mJob == Job::Probe && aNow - mStartedAt > kProbeTimeout) {
       Fail("probe_timeout");
       return;
     }
-    if (mJob == Job::None && aNow - mUsedAt > mIdleLimit) {
-      End();
+    if (mJob == Job::None && aNow - mLastUsedAt > mIdleTimeout) {
+      Close();
     }
   }
 
-  /// \brief Ends the connection without a report.
-  void End()
+  /// \brief Closes the connection without reporting a result.
+  void Close()
   {
     if (mSocket.Closed()) {
       return;
@@ -205,36 +206,36 @@
   [[nodiscard]] std::uint64_t Id() const noexcept { return mId; }
   [[nodiscard]] std::uint64_t Attempt() const noexcept { return mAttempt; }
   [[nodiscard]] const std::string& Target() const noexcept { return mTarget; }
-  [[nodiscard]] Micros UsedAt() const noexcept { return mUsedAt; }
-  [[nodiscard]] Micros IdleLimit() const noexcept { return mIdleLimit; }
+  [[nodiscard]] Micros LastUsedAt() const noexcept { return mLastUsedAt; }
+  [[nodiscard]] Micros IdleTimeout() const noexcept { return mIdleTimeout; }
 
 private:
   void Start(std::string aBytes)
   {
     mStartedAt = mPool.mNow;
     if (mConnecting) {
-      mUnsent = std::move(aBytes);
+      mPendingBytes = std::move(aBytes);
       return;
     }
-    mReused = true;
-    SendFirst(std::move(aBytes));
+    mIsReused = true;
+    SendRequestBytes(std::move(aBytes));
   }
 
-  void SendFirst(std::string aBytes)
+  void SendRequestBytes(std::string aBytes)
   {
     const std::size_t size = aBytes.size();
-    const bool sound = mSocket.Send(std::move(aBytes));
-    mSent = mSocket.Unsent() < size;
-    if (!sound) {
+    const bool isOpen = mSocket.Send(std::move(aBytes));
+    mHasSentBytes = mSocket.Unsent() < size;
+    if (!isOpen) {
       Fail("send_failed");
     }
   }
 
-  // True when the exchange has ended.
-  bool Read()
+  // Returns true when the exchange has ended.
+  bool ReadAnswers()
   {
     while (true) {
-      const ReadStatus status = mReader.Read(mSocket.In(), mHeadOnly);
+      const ReadStatus status = mReader.Read(mSocket.Input(), mHeadOnly);
       if (status == ReadStatus::Partial) {
         return false;
       }
@@ -248,9 +249,9 @@
     }
   }
 
-  // An answer that names another request arrived late: it belongs to nobody
-  // here. A connection that has carried one is not used again.
-  bool IsStray(const HttpResponse& aResponse) const
+  // An answer with the id of another request arrived late, for an exchange that
+  // has ended. A connection that carried one is not reused.
+  bool AnswersAnotherRequest(const HttpResponse& aResponse) const
   {
     const std::string* id =
       FindField(aResponse.mFields, mPool.mNames.mRequestId);
@@ -260,10 +261,11 @@
     return id != nullptr && *id != mRequestId;
   }
 
-  // A head that was cut off may look like a short answer; an answer to this
-  // request names it, and a success is vouched for. A refusal may come from a
-  // target that has not read the request's fields.
-  bool IsSound(const HttpResponse& aResponse) const
+  // A truncated header section may look like a short answer. An answer to this
+  // request therefore has to carry its id, and a success has to be signed. A
+  // rejection may lack the id, as the target may not have read the request's
+  // fields.
+  bool IsCompleteAnswer(const HttpResponse& aResponse) const
   {
     if (mJob == Job::Probe) {
       return true;
@@ -273,40 +275,41 @@
     const bool named = mRequestId.empty() ||
                        FindField(fields, names.mRequestId) != nullptr ||
                        FindField(fields, names.mNotRun) != nullptr ||
-                       aResponse.mStatus == kMisdirected;
-    const bool vouched = aResponse.mStatus >= kNotSuccess ||
-                         names.mSignature.empty() ||
-                         FindField(fields, names.mSignature) != nullptr;
-    return named && vouched;
+                       aResponse.mStatus == kStatusMisdirected;
+    const bool isSigned = aResponse.mStatus >= kFirstNonSuccessStatus ||
+                          names.mSignature.empty() ||
+                          FindField(fields, names.mSignature) != nullptr;
+    return named && isSigned;
   }
 
-  // False when the answer was not the one waited for.
+  // Returns false if the answer belongs to another request.
   bool Finish()
   {
     HttpResponse response = mReader.Take();
-    if (IsStray(response)) {
-      mTainted = true;
+    if (AnswersAnotherRequest(response)) {
+      mReceivedStray = true;
       return false;
     }
-    if (!IsSound(response)) {
+    if (!IsCompleteAnswer(response)) {
       Fail("not_an_answer");
       return true;
     }
-    const bool reusable = response.mKeepAlive && !mTainted &&
-                          mSocket.In().empty() && mSocket.Unsent() == 0;
+    const bool reusable = response.mKeepAlive && !mReceivedStray &&
+                          mSocket.Input().empty() && mSocket.Unsent() == 0;
     if (response.mKeepAliveSeconds > 0) {
-      mIdleLimit = static_cast<Micros>(
-        kIdleShare * static_cast<double>(response.mKeepAliveSeconds) * kSecond);
+      mIdleTimeout = static_cast<Micros>(
+        kIdleTimeoutFraction * static_cast<double>(response.mKeepAliveSeconds) *
+        kSecond);
     }
-    mUsedAt = mPool.mNow;
+    mLastUsedAt = mPool.mNow;
     const Job job = std::exchange(mJob, Job::None);
     if (job == Job::Attempt) {
       mPool.mAttempts.erase(mAttempt);
     }
     if (reusable) {
-      mPool.Keep(*this);
+      mPool.ReturnToIdle(*this);
     } else {
-      End();
+      Close();
     }
     Report(job, std::move(response));
     return true;
@@ -316,7 +319,8 @@
   {
     const FieldNames& names = mPool.mNames;
     const std::string* load = FindField(aResponse.mFields, names.mLoad);
-    const std::string* by = FindField(aResponse.mFields, names.mTargetId);
+    const std::string* answeredBy =
+      FindField(aResponse.mFields, names.mTargetId);
     std::optional<dispatch::Report> report;
     if (load != nullptr) {
       report = ParseLoad(*load);
@@ -325,11 +329,11 @@
       dispatch::ProbeEnd end;
       end.mTarget = mTarget;
       end.mAnswered = true;
-      end.mHealthy = aResponse.mStatus == kHealthy;
-      end.mAnsweredBy = by == nullptr ? "" : *by;
+      end.mHealthy = aResponse.mStatus == kStatusOk;
+      end.mAnsweredBy = answeredBy == nullptr ? "" : *answeredBy;
       end.mReport = report;
-      end.mLimit = ReadLimit(aResponse.mFields, names.mLimit);
-      mPool.mSink.OnProbe(end);
+      end.mLimit = ParseLimit(aResponse.mFields, names.mLimit);
+      mPool.mSink.OnProbeResult(end);
       return;
     }
     dispatch::AttemptEnd end;
@@ -337,16 +341,16 @@
     end.mAttempt = mAttempt;
     end.mKind = dispatch::EndKind::Answered;
     end.mStatus = aResponse.mStatus;
-    end.mMisdirected = aResponse.mStatus == kMisdirected;
+    end.mMisdirected = aResponse.mStatus == kStatusMisdirected;
     end.mNotRun = end.mMisdirected ||
                   FindField(aResponse.mFields, names.mNotRun) != nullptr;
     end.mBytes = aResponse.mBody.size();
     end.mReport = report;
-    end.mLimit = ReadLimit(aResponse.mFields, names.mLimit);
+    end.mLimit = ParseLimit(aResponse.mFields, names.mLimit);
     if (end.mNotRun) {
       end.mReason = end.mMisdirected ? "address_taken" : "target_refused";
     }
-    mPool.mSink.OnAttempt(std::move(end), std::move(aResponse));
+    mPool.mSink.OnAttemptResult(std::move(end), std::move(aResponse));
   }
 
   void Fail(const char* aReason, bool aRefused = false)
@@ -355,26 +359,28 @@
     if (job == Job::Attempt) {
       mPool.mAttempts.erase(mAttempt);
     }
-    const bool sent = mSent;
-    End();
+    const bool hasSentBytes = mHasSentBytes;
+    Close();
     if (job == Job::Probe) {
-      // An idle connection that had ended says nothing of its target.
-      if (mReused) {
+      // A failure on a reused connection does not mean that the target is
+      // down: the target may have closed it while it was idle.
+      if (mIsReused) {
         mPool.Open(mTarget, mAddress)->StartProbe(mProbePath);
         return;
       }
       dispatch::ProbeEnd end;
       end.mTarget = mTarget;
       end.mRefused = aRefused;
-      mPool.mSink.OnProbe(end);
+      mPool.mSink.OnProbeResult(end);
     } else if (job == Job::Attempt) {
       dispatch::AttemptEnd end;
       end.mRequest = mRequest;
       end.mAttempt = mAttempt;
-      end.mKind = sent ? dispatch::EndKind::Broken : dispatch::EndKind::NotSent;
+      end.mKind =
+        hasSentBytes ? dispatch::EndKind::Broken : dispatch::EndKind::NotSent;
       end.mRefused = aRefused;
       end.mReason = aReason;
-      mPool.mSink.OnAttempt(std::move(end), HttpResponse());
+      mPool.mSink.OnAttemptResult(std::move(end), HttpResponse());
     }
   }
 
@@ -385,19 +391,19 @@
   BufferedSocket mSocket;
   ResponseReader mReader;
   Job mJob = Job::None;
-  std::string mUnsent;
+  std::string mPendingBytes;
   std::string mProbePath;
   std::string mRequestId;
   std::uint64_t mRequest = 0;
   std::uint64_t mAttempt = 0;
   Micros mStartedAt = 0;
-  Micros mUsedAt = 0;
-  Micros mIdleLimit = kIdleUnsaid;
+  Micros mLastUsedAt = 0;
+  Micros mIdleTimeout = kDefaultIdleTimeout;
   bool mConnecting = true;
-  bool mSent = false;
-  bool mReused = false;
+  bool mHasSentBytes = false;
+  bool mIsReused = false;
   bool mHeadOnly = false;
-  bool mTainted = false;
+  bool mReceivedStray = false;
 };
 
 TargetPool::TargetPool(EventLoop& aLoop,
@@ -420,9 +426,9 @@
     socket.setNoDelay(true);
     socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
   } catch (const Poco::Exception&) {
-    // The connection below reports the failed connect when it is waited for.
+    // The connection created below reports the failed connect.
   }
-  const std::uint64_t id = ++mLastConnection;
+  const std::uint64_t id = ++mLastConnectionId;
   auto connection =
     std::make_unique<Connection>(*this, id, aTarget, aAddress, socket);
   Connection* raw = connection.get();
@@ -437,10 +443,10 @@
   if (found == mIdle.end() || found->second.empty()) {
     return nullptr;
   }
-  // The one that was used last is the likeliest to be alive.
+  // The most recently used connection is the most likely to be alive.
   Connection* connection = found->second.back();
-  const Micros age = mNow - connection->UsedAt();
-  if (age > std::min(aMaxAge, connection->IdleLimit())) {
+  const Micros age = mNow - connection->LastUsedAt();
+  if (age > std::min(aMaxAge, connection->IdleTimeout())) {
     return nullptr;
   }
   found->second.pop_back();
@@ -457,16 +463,16 @@
   connection->StartProbe(aProbe.mPath);
 }
 
-void TargetPool::Send(Shipment aShipment)
+void TargetPool::Send(OutboundRequest aRequest)
 {
-  const Micros age = aShipment.mProvenConnection
-                       ? kProvenAge
+  const Micros age = aRequest.mProvenConnection
+                       ? kProvenMaxAge
                        : std::numeric_limits<Micros>::max();
-  Connection* connection = TakeIdle(aShipment.mTarget, age);
+  Connection* connection = TakeIdle(aRequest.mTarget, age);
   if (connection == nullptr) {
-    connection = Open(aShipment.mTarget, aShipment.mAddress);
+    connection = Open(aRequest.mTarget, aRequest.mAddress);
   }
-  connection->StartAttempt(std::move(aShipment));
+  connection->StartAttempt(std::move(aRequest));
 }
 
 void TargetPool::Cancel(std::uint64_t aAttempt)
@@ -475,15 +481,15 @@
   if (found != mAttempts.end()) {
     Connection* connection = found->second;
     mAttempts.erase(found);
-    connection->End();
+    connection->Close();
   }
 }
 
-void TargetPool::Keep(Connection& aConnection)
+void TargetPool::ReturnToIdle(Connection& aConnection)
 {
   std::vector<Connection*>& idle = mIdle[aConnection.Target()];
-  if (idle.size() >= kIdlePerTarget) {
-    idle.front()->End();
+  if (idle.size() >= kMaxIdlePerTarget) {
+    idle.front()->Close();
   }
   mIdle[aConnection.Target()].push_back(&aConnection);
 }
@@ -500,7 +506,7 @@
   }
   const auto found = mConnections.find(aConnection.Id());
   if (found != mConnections.end()) {
-    mRetired.push_back(std::move(found->second));
+    mClosedConnections.push_back(std::move(found->second));
     mConnections.erase(found);
   }
 }
@@ -508,11 +514,11 @@
 void TargetPool::Tick(Micros aNow)
 {
   mNow = aNow;
-  mRetired.clear();
-  if (aNow < mSweptAt + kSweepInterval) {
+  mClosedConnections.clear();
+  if (aNow < mTimeoutsCheckedAt + kTimeoutCheckInterval) {
     return;
   }
-  mSweptAt = aNow;
+  mTimeoutsCheckedAt = aNow;
   std::vector<Connection*> all;
   all.reserve(mConnections.size());
   for (const auto& [id, connection] : mConnections) {
@@ -520,7 +526,7 @@
   }
   for (Connection* connection : all) {
     if (mConnections.count(connection->Id()) != 0) {
-      connection->Sweep(aNow);
+      connection->CheckTimeouts(aNow);
     }
   }
 }
--- a/tests/gateway_stop_test.cpp
+++ b/tests/gateway_stop_test.cpp
@@ -1,6 +1,6 @@
 #include "fakes/free_address.h"
 #include "frontend/gateway_process.h"
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -49,8 +49,8 @@
                                 "attempts = 1\n"
                                 "backends = s:1\n";
 
-/// \brief Answers its health path, and everything else with a large body.
-class LargeAnswers : public net::HTTPRequestHandler
+/// \brief Answers health checks, and all other requests with a large body.
+class LargeAnswerHandler : public net::HTTPRequestHandler
 {
 public:
   void handleRequest(net::HTTPServerRequest& aRequest,
@@ -69,13 +69,13 @@
   }
 };
 
-class LargeAnswersFactory : public net::HTTPRequestHandlerFactory
+class LargeAnswerHandlerFactory : public net::HTTPRequestHandlerFactory
 {
 public:
   net::HTTPRequestHandler* createRequestHandler(
     const net::HTTPServerRequest&) override
   {
-    return new LargeAnswers;
+    return new LargeAnswerHandler;
   }
 };
 
@@ -98,8 +98,8 @@
 
 } // namespace
 
-/// \brief A gateway host on loopback with one target, and a client that reads
-/// slowly while the host stops.
+/// \brief Tests the graceful shutdown of a gateway host on loopback with one
+/// target and a slow client.
 class GatewayStopTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayStopTest);
@@ -129,28 +129,30 @@
 
   void LargeAnswerToASlowReaderIsWholeThoughTheHostStops()
   {
-    net::HTTPServer target(
-      new LargeAnswersFactory, net::ServerSocket(0), new net::HTTPServerParams);
+    net::HTTPServer target(new LargeAnswerHandlerFactory,
+                           net::ServerSocket(0),
+                           new net::HTTPServerParams);
     target.start();
     std::thread host([this] { Run(); });
-    // A check that fails must say so: an unjoined thread ends the process.
-    const std::shared_ptr<void> joins(nullptr, [&](void*) {
+    // Joins the thread also when an assertion fails: destroying a joinable
+    // thread would terminate the process and hide the failure.
+    const std::shared_ptr<void> joinOnExit(nullptr, [&](void*) {
       mStop = true;
       if (host.joinable()) {
         host.join();
       }
     });
     Announce("127.0.0.1:" + std::to_string(target.port()));
-    const std::size_t taken = ReadSlowly();
+    const std::size_t bytesRead = ReadSlowly();
     host.join();
     target.stopAll(true);
-    CPPUNIT_ASSERT_EQUAL(kAnswerBytes, taken);
+    CPPUNIT_ASSERT_EQUAL(kAnswerBytes, bytesRead);
   }
 
 private:
   void Run()
   {
-    GatewayProcess process(mSettings, OwnDialect());
+    GatewayProcess process(mSettings, NativeDialect());
     const bool started = static_cast<bool>(process.Start());
     bool stopping = false;
     while (started && process.RunOnce()) {
@@ -161,19 +163,19 @@
     }
   }
 
-  // The host takes calls once its group of one has elected itself.
+  // The host accepts calls once its single-member group has elected a leader.
   void Announce(const std::string& aTarget) const
   {
     const std::string& host = mSettings.mCallAddresses.front();
     const std::string record = R"({"service":"s","address":")" + aTarget +
                                R"(","slots":4,"sequence":1})";
-    CPPUNIT_ASSERT(Accepted(host, "/policy", kPolicy));
-    CPPUNIT_ASSERT(Accepted(host, "/targets/t1", record));
+    CPPUNIT_ASSERT(PutUntilAccepted(host, "/policy", kPolicy));
+    CPPUNIT_ASSERT(PutUntilAccepted(host, "/targets/t1", record));
   }
 
-  static bool Accepted(const std::string& aHost,
-                       const std::string& aPath,
-                       const std::string& aBody)
+  static bool PutUntilAccepted(const std::string& aHost,
+                               const std::string& aPath,
+                               const std::string& aBody)
   {
     const auto end = steady_clock::now() + std::chrono::seconds(10);
     while (steady_clock::now() < end) {
@@ -182,14 +184,15 @@
           return true;
         }
       } catch (const Poco::Exception&) {
-        // It does not listen yet.
+        // The host does not listen yet.
       }
       std::this_thread::sleep_for(milliseconds(20));
     }
     return false;
   }
 
-  // Reads for two seconds, so that the host would be idle long before the end.
+  // Reads for at least two seconds, so that the host has sent its answer to the
+  // socket and has nothing else to do long before the client has read it.
   std::size_t ReadSlowly()
   {
     const net::SocketAddress address(mSettings.mCallerAddress);
@@ -203,14 +206,15 @@
     CPPUNIT_ASSERT_EQUAL(200, static_cast<int>(response.getStatus()));
     mStop = true;
     constexpr int kSteps = 40;
-    std::string part(kAnswerBytes / kSteps, '\0');
-    std::size_t taken = 0;
-    while (body.read(part.data(), static_cast<std::streamsize>(part.size())) ||
-           body.gcount() > 0) {
-      taken += static_cast<std::size_t>(body.gcount());
+    std::string buffer(kAnswerBytes / kSteps, '\0');
+    std::size_t bytesRead = 0;
+    while (
+      body.read(buffer.data(), static_cast<std::streamsize>(buffer.size())) ||
+      body.gcount() > 0) {
+      bytesRead += static_cast<std::size_t>(body.gcount());
       std::this_thread::sleep_for(milliseconds(50));
     }
-    return taken;
+    return bytesRead;
   }
 
   std::string mFolder;
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -19,67 +19,67 @@
 namespace net = Poco::Net;
 
 constexpr int kClients = 60;
-/// A connection is accepted in one round of the loop and read in the next.
-constexpr int kRounds = 3;
+/// A connection is accepted in one iteration of the loop and read in the next.
+constexpr int kIterations = 3;
 
-/// \brief Counts what clients do.
+/// \brief Counts requests, disconnects and malformed requests.
 class CountingSink : public RequestSink
 {
 public:
   void OnRequest(std::uint64_t, HttpRequest) override { ++mRequests; }
-  void OnGone(std::uint64_t) override { ++mGone; }
+  void OnClientDisconnected(std::uint64_t) override { ++mDisconnected; }
   void OnMalformed(int, const std::string&) override { ++mMalformed; }
 
   int mRequests = 0;
-  int mGone = 0;
+  int mDisconnected = 0;
   int mMalformed = 0;
 };
 
 } // namespace
 
-/// \brief A server whose loop comes late to what clients have done.
+/// \brief Tests a server whose event loop is late in handling its clients.
 class HttpServerTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HttpServerTest);
-  CPPUNIT_TEST(ConnectionsThatWaitAreTakenTogether);
-  CPPUNIT_TEST(RequestWhoseClientHasLeftIsNotTaken);
-  CPPUNIT_TEST(RequestWhoseClientStaysIsAnswered);
+  CPPUNIT_TEST(WaitingConnectionsAreAcceptedTogether);
+  CPPUNIT_TEST(RequestOfDisconnectedClientIsDropped);
+  CPPUNIT_TEST(RequestOfConnectedClientIsAnswered);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // While a host is busy each round of its loop takes long. It accepted one
-  // connection a round, so that clients waited in the queue of the socket for
-  // as many rounds as there were of them, unseen, while their deadlines passed.
-  // A host that took twenty times as many requests as others after a loss of
-  // power logged `client_left` with took_ms of 1 to 20 for clients that give up
-  // after a second at the soonest: the rest of that second was the queue.
-  void ConnectionsThatWaitAreTakenTogether()
+  // Guards against accepting one connection per iteration of the loop. With the
+  // long iterations of a busy host, clients then wait in the accept queue while
+  // their deadlines pass. A host that received twenty times the usual requests
+  // after a power loss logged `client_left` with took_ms of 1 to 20 for clients
+  // that wait at least a second: they had spent the rest in the accept queue.
+  void WaitingConnectionsAreAcceptedTogether()
   {
     SendRequests(kClients);
-    Run(kRounds);
+    Run(kIterations);
     CPPUNIT_ASSERT_EQUAL(kClients, mSink.mRequests);
   }
 
-  // A client that gave up while its request waited has closed its connection.
-  // The request was taken all the same, and passed on before the close was
-  // seen a round later: lines `client_left` a few milliseconds after the
-  // request's arrival, some with sent=1.
-  void RequestWhoseClientHasLeftIsNotTaken()
+  // Guards against handling a request whose client has given up and closed its
+  // connection while the request waited. The request used to be forwarded
+  // before the close was noticed one iteration later: `client_left` was logged
+  // a few milliseconds after the request's arrival, sometimes with sent=1.
+  void RequestOfDisconnectedClientIsDropped()
   {
     SendRequests(kClients);
     mClients.clear();
-    Run(kRounds * kClients);
+    Run(kIterations * kClients);
     CPPUNIT_ASSERT_EQUAL(0, mSink.mRequests);
     CPPUNIT_ASSERT_EQUAL(0, mSink.mMalformed);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), mServer.Connections());
   }
 
-  void RequestWhoseClientStaysIsAnswered()
+  void RequestOfConnectedClientIsAnswered()
   {
     SendRequests(1);
-    Run(kRounds);
+    Run(kIterations);
     CPPUNIT_ASSERT_EQUAL(1, mSink.mRequests);
-    mServer.Respond(NextExchange() - 1, MakeResponse(200, "text/plain", "ok"));
+    mServer.Respond(NextExchangeId() - 1,
+                    MakeResponse(200, "text/plain", "ok"));
     char bytes[256];
     const int count = mClients.front()->receiveBytes(bytes, sizeof(bytes));
     const std::string answer(bytes, static_cast<std::size_t>(count));
@@ -98,9 +98,9 @@
     }
   }
 
-  void Run(int aRounds)
+  void Run(int aIterations)
   {
-    for (int i = 0; i < aRounds; ++i) {
+    for (int i = 0; i < aIterations; ++i) {
       mNow += 20 * kMillisecond;
       (void)mLoop.RunOnce(mNow, mNow + kMillisecond);
       mServer.Tick(mNow);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,6 +1,6 @@
 #include "dialect.h"
 
-#include "frontend/own_dialect.h"
+#include "frontend/native_dialect.h"
 
 #include <geraniumpond/gateway_settings.h>
 #include <geraniumpond/policy_file.h>
@@ -62,7 +62,7 @@
 "max_body_bytes":67108864,"header_timeout":"3000ms",
 "idle_timeout":"15000ms"}}]})";
 
-constexpr const char* kBeat =
+constexpr const char* kHeartbeat =
   R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":2,
 "state":"ready","warmup_left":"0ms","sequence":4})";
 
@@ -71,21 +71,21 @@
 class PlatformTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PlatformTest);
-  CPPUNIT_TEST(PolicyDocumentIsDecodedOnce);
-  CPPUNIT_TEST(InvalidPolicyDocumentsAreRefusedWithAReason);
-  CPPUNIT_TEST(CallsAreRead);
-  CPPUNIT_TEST(TimeOfBirthIsReadWhereItIsSaid);
-  CPPUNIT_TEST(HeartbeatOfAnotherWriterNamesNoTarget);
-  CPPUNIT_TEST(BadCallsAreInvalid);
-  CPPUNIT_TEST(EndsBecomeTheStatusesThatCallersAct);
-  CPPUNIT_TEST(NamesOfThePlatformStandInItsFolderAlone);
-  CPPUNIT_TEST(OwnPolicyFileSaysTheSame);
+  CPPUNIT_TEST(PolicyDocumentIsDecoded);
+  CPPUNIT_TEST(InvalidPolicyDocumentsAreRejected);
+  CPPUNIT_TEST(CallsAreParsed);
+  CPPUNIT_TEST(StartTimeIsReadWherePresent);
+  CPPUNIT_TEST(InvalidHeartbeatIsRejected);
+  CPPUNIT_TEST(InvalidCallsAreRejected);
+  CPPUNIT_TEST(OperationResultsMapToHttpStatuses);
+  CPPUNIT_TEST(PlatformNamesOccurOnlyInPlatformFolder);
+  CPPUNIT_TEST(PolicyFileMatchesPolicyDocument);
   CPPUNIT_TEST(GatewaySettingsAreChecked);
   CPPUNIT_TEST(LongestPrefixOfTheHostWins);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PolicyDocumentIsDecodedOnce()
+  void PolicyDocumentIsDecoded()
   {
     const auto decoded = DecodePolicy(kDocument);
     CPPUNIT_ASSERT(decoded);
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_EQUAL(15 * kSecond, read.mLimits.mIdleTimeout);
   }
 
-  void InvalidPolicyDocumentsAreRefusedWithAReason()
+  void InvalidPolicyDocumentsAreRejected()
   {
     const std::pair<std::string, std::string> changes[] = {
       { "\"service\":\"s1\",\"weight\":90",
@@ -136,7 +136,7 @@
     }
   }
 
-  void CallsAreRead()
+  void CallsAreParsed()
   {
     const frontend::Call announce =
       Read("POST",
@@ -144,49 +144,51 @@
            R"({"service":"s","address":"10.0.0.1:80","zone":"z",
 "version":"v1","slots":2,"state":"draining","warmup_left":"1.5s",
 "sequence":4})");
-    const auto& record = std::get<frontend::CallAnnounce>(announce).mRecord;
+    const auto& record =
+      std::get<frontend::RegisterTargetCall>(announce).mRecord;
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"), record.id());
     CPPUNIT_ASSERT_EQUAL(std::string("z"), record.data_centre());
     CPPUNIT_ASSERT(record.draining());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), record.sequence());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t(1500), record.warm_up_ms());
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallWithdraw>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::RemoveTargetCall>(
       Read("POST", "/v1/rpc?call=instances.deregister&of=i-1", "")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallPutPolicy>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::PutPolicyCall>(
       Read("POST", "/v1/rpc?call=config.put", "{}")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallReadPolicy>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::ReadPolicyCall>(
       Read("POST", "/v1/rpc?call=config.get", "")));
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallReady>(
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::ReadinessCall>(
       Read("GET", "/v1/ready", "")));
     const frontend::Call resolve =
       Read("GET", "/v1/resolve?name=a.example&region=r&zone=z", "");
     CPPUNIT_ASSERT_EQUAL(std::string("z"),
-                         std::get<frontend::CallResolve>(resolve).mDataCentre);
+                         std::get<frontend::ResolveCall>(resolve).mDataCentre);
   }
 
-  void TimeOfBirthIsReadWhereItIsSaid()
+  void StartTimeIsReadWherePresent()
   {
     const frontend::Call announce =
       Read("POST",
            "/v1/rpc?call=instances.heartbeat&of=i-1",
-           Replaced(kBeat, "{", "{\"born\":1790000000123,"));
+           Replaced(kHeartbeat, "{", "{\"born\":1790000000123,"));
     CPPUNIT_ASSERT_EQUAL(
       std::uint64_t(1790000000123),
-      std::get<frontend::CallAnnounce>(announce).mRecord.born_ms());
+      std::get<frontend::RegisterTargetCall>(announce).mRecord.born_ms());
     const frontend::Call withdraw =
       Read("POST",
            "/v1/rpc?call=instances.deregister&of=i-1",
            R"({"born":1790000000123})");
-    const auto& removal = std::get<frontend::CallWithdraw>(withdraw).mRemoval;
+    const auto& removal =
+      std::get<frontend::RemoveTargetCall>(withdraw).mRemoval;
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"), removal.id());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1790000000123), removal.born_ms());
   }
 
-  void HeartbeatOfAnotherWriterNamesNoTarget()
+  void InvalidHeartbeatIsRejected()
   {
     const char* path = "/v1/rpc?call=instances.heartbeat&of=i-1";
-    CPPUNIT_ASSERT(std::holds_alternative<frontend::CallAnnounce>(
-      Read("POST", path, kBeat)));
+    CPPUNIT_ASSERT(std::holds_alternative<frontend::RegisterTargetCall>(
+      Read("POST", path, kHeartbeat)));
     const std::pair<std::string, std::string> changes[] = {
       { "\"service\":\"s\",", "" },
       { "\"service\":\"s\"", "\"service\":7" },
@@ -220,19 +222,19 @@
       { "}", "" },
     };
     for (const auto& [from, to] : changes) {
-      const std::string body = Replaced(kBeat, from, to);
+      const std::string body = Replaced(kHeartbeat, from, to);
       CPPUNIT_ASSERT_MESSAGE(body,
-                             std::holds_alternative<frontend::CallInvalid>(
+                             std::holds_alternative<frontend::InvalidCall>(
                                Read("POST", path, body)));
     }
     for (const std::string& body :
          { std::string("\xff\xfe\x00{", 4), std::string("null") }) {
-      CPPUNIT_ASSERT(std::holds_alternative<frontend::CallInvalid>(
+      CPPUNIT_ASSERT(std::holds_alternative<frontend::InvalidCall>(
         Read("POST", path, body)));
     }
   }
 
-  void BadCallsAreInvalid()
+  void InvalidCallsAreRejected()
   {
     const std::pair<std::string, std::string> calls[] = {
       { "/v1/rpc?call=instances.heartbeat", "{}" },
@@ -245,31 +247,33 @@
     };
     for (const auto& [target, body] : calls) {
       CPPUNIT_ASSERT_MESSAGE(target + " " + body,
-                             std::holds_alternative<frontend::CallInvalid>(
+                             std::holds_alternative<frontend::InvalidCall>(
                                Read("POST", target, body)));
     }
   }
 
-  void EndsBecomeTheStatusesThatCallersAct()
+  void OperationResultsMapToHttpStatuses()
   {
     using gateway::OperationOutcome;
     const frontend::Dialect dialect = PlatformDialect();
-    const std::pair<OperationOutcome, int> ends[] = {
+    const std::pair<OperationOutcome, int> results[] = {
       { OperationOutcome::Done, 200 },
       { OperationOutcome::Invalid, 400 },
       { OperationOutcome::Conflict, 412 },
       { OperationOutcome::Unavailable, 503 },
     };
-    for (const auto& [end, status] : ends) {
+    for (const auto& [end, status] : results) {
       CPPUNIT_ASSERT_EQUAL(
-        status, dialect.mWriteEnd({ 1, end, "why", "", "" }).mStatus);
+        status,
+        dialect.mMakeOperationResponse({ 1, end, "why", "", "" }).mStatus);
     }
     CPPUNIT_ASSERT_EQUAL(
       std::string(R"({"addresses":["10.0.0.1:80"],"ttl":"1200ms"})"),
-      dialect.mWriteAddresses({ "10.0.0.1:80" }, 1200 * kMillisecond).mBody);
+      dialect.mMakeAddressResponse({ "10.0.0.1:80" }, 1200 * kMillisecond)
+        .mBody);
   }
 
-  void NamesOfThePlatformStandInItsFolderAlone()
+  void PlatformNamesOccurOnlyInPlatformFolder()
   {
     const char* names[] = {
       "weighted_backends", "Upstream-Signature", "route_type",
@@ -292,7 +296,7 @@
     }
   }
 
-  void OwnPolicyFileSaysTheSame()
+  void PolicyFileMatchesPolicyDocument()
   {
     const auto read = policy::DecodePolicyFile(
       "[policy]\nversion = 7\nbase = 5\n"
@@ -325,7 +329,8 @@
     const auto read = ParseGatewaySettings(text, "f");
     CPPUNIT_ASSERT(read.Ok());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), read.mValue.mCallAddresses.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:3"), SeedPeers(read.mValue)[0]);
+    CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:3"),
+                         SeedPeerAddresses(read.mValue)[0]);
     CPPUNIT_ASSERT_EQUAL(6 * kSecond, read.mValue.mStopGrace);
     const auto wrong = ParseGatewaySettings(
       Replaced(text, "stop_grace = 6s", "stop_grace = 6"), "f");
@@ -372,7 +377,7 @@
     request.mMethod = aMethod;
     request.mTarget = aTarget;
     request.mBody = aBody;
-    return ReadCall(request);
+    return ParseCall(request);
   }
 };
 
--- a/tests/request_digest_test.cpp
+++ b/tests/request_digest_test.cpp
@@ -26,22 +26,22 @@
 class RequestDigestTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestDigestTest);
-  CPPUNIT_TEST(LaterTryHasTheSameDigest);
-  CPPUNIT_TEST(OtherMethodBodyOrCallerHasAnother);
-  CPPUNIT_TEST(CallerIsToldByTheFieldsThatAreNamed);
+  CPPUNIT_TEST(RetryHasTheSameDigest);
+  CPPUNIT_TEST(DifferentMethodBodyOrCallerHasDifferentDigest);
+  CPPUNIT_TEST(CallerIsIdentifiedByConfiguredFields);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void LaterTryHasTheSameDigest()
+  void RetryHasTheSameDigest()
   {
-    HttpRequest later = MakeRequest();
-    later.mFields[1].second = "2";
-    later.mFields.emplace_back("Deadline-Ms", "700");
-    later.mFields.emplace_back("Connection", "close");
-    CPPUNIT_ASSERT_EQUAL(DigestOf(MakeRequest()), DigestOf(later));
+    HttpRequest retry = MakeRequest();
+    retry.mFields[1].second = "2";
+    retry.mFields.emplace_back("Deadline-Ms", "700");
+    retry.mFields.emplace_back("Connection", "close");
+    CPPUNIT_ASSERT_EQUAL(DigestOf(MakeRequest()), DigestOf(retry));
   }
 
-  void OtherMethodBodyOrCallerHasAnother()
+  void DifferentMethodBodyOrCallerHasDifferentDigest()
   {
     HttpRequest method = MakeRequest();
     method.mMethod = "PUT";
@@ -49,14 +49,14 @@
     body.mBodyDigest = Hash64("withdrawn");
     HttpRequest caller = MakeRequest();
     caller.mFields[2].second = "Bearer omar";
-    HttpRequest nobody = MakeRequest();
-    nobody.mFields.pop_back();
-    for (const HttpRequest& other : { method, body, caller, nobody }) {
+    HttpRequest anonymous = MakeRequest();
+    anonymous.mFields.pop_back();
+    for (const HttpRequest& other : { method, body, caller, anonymous }) {
       CPPUNIT_ASSERT(DigestOf(MakeRequest()) != DigestOf(other));
     }
   }
 
-  void CallerIsToldByTheFieldsThatAreNamed()
+  void CallerIsIdentifiedByConfiguredFields()
   {
     HttpRequest other = MakeRequest();
     other.mFields[2].second = "Bearer omar";
