--- a/include/geraniumpond/burn.h
+++ b/include/geraniumpond/burn.h
@@ -10,7 +10,8 @@
 #include <tuple>
 #include <vector>
 
-/// \brief Latency histograms and the burn of service-level objectives.
+/// \brief Latency histograms and error budget burn rates of service-level
+/// objectives.
 namespace geraniumpond::burn {
 
 using LatencyAxis =
@@ -19,27 +20,28 @@
 using Histogram =
   decltype(boost::histogram::make_histogram(std::declval<LatencyAxis>()));
 
-/// \brief A histogram of latencies in milliseconds, 0.05 ms to 100 s.
+/// \brief An empty histogram of latencies in milliseconds, 0.05 ms to 100 s.
 [[nodiscard]] Histogram NewHistogram();
 
-/// \brief Upper bound in milliseconds of the bin that holds a quantile; 0
-/// while the histogram is empty.
+/// \brief Upper bound in milliseconds of the bin that contains a quantile; 0
+/// for an empty histogram.
 [[nodiscard]] double Quantile(const Histogram& aHistogram, double aShare);
 
-/// \brief Answers that met their objective, out of all, in one bucket.
+/// \brief Counts of answers in one interval, and of those that met the
+/// objective.
 struct Bucket
 {
   std::uint64_t mGood = 0;
   std::uint64_t mTotal = 0;
 };
 
-/// \brief Length of a bucket; short enough for the shortest window.
+/// \brief Length of a bucket, at most that of the shortest window.
 constexpr Micros kBucketLength = 5 * kMinute;
 
-/// \brief Buckets that are kept: three days.
+/// \brief Number of buckets kept: three days.
 constexpr std::size_t kBuckets = 3 * 24 * 12;
 
-/// \brief What is kept for one (service, kind, caller).
+/// \brief Statistics of one (service, kind, caller).
 struct Series
 {
   Histogram mLatency = NewHistogram();
@@ -54,21 +56,21 @@
 /// \brief All series of one host.
 using Book = std::map<SeriesKey, Series>;
 
-/// \brief Notes one answer.
+/// \brief Records an answer.
 void Note(Series& aSeries,
           Micros aNow,
           Micros aLatency,
           const std::string& aOutcome,
           bool aGood);
 
-/// \brief Good and total answers of the last `aWindow`.
+/// \brief Sums the buckets of the last `aWindow`.
 [[nodiscard]] Bucket Over(const Series& aSeries, Micros aNow, Micros aWindow);
 
-/// \brief Error budget spent per unit of time, 1 being exactly all of it over
-/// the objective's period; 0 without answers.
+/// \brief Burn rate of the error budget; 1 spends exactly the whole budget over
+/// the objective's period. 0 without answers.
 [[nodiscard]] double Rate(const Bucket& aCounts, double aObjectiveShare);
 
-/// \brief Windows of the report.
+/// \brief A time window of the report.
 struct Window
 {
   const char* mName;
--- a/include/geraniumpond/control.h
+++ b/include/geraniumpond/control.h
@@ -7,12 +7,13 @@
 #include <map>
 #include <string>
 
-/// \brief What the control group replicates: deployments and key records.
+/// \brief State machine replicated by the control group: deployments and
+/// idempotency records.
 namespace geraniumpond::control {
 
-/// \brief Deployments kept for `show config --version`.
+/// \brief Number of deployments kept for `show config --version`.
 constexpr std::size_t kHistory = 50;
-/// \brief Change ids whose first outcome is told again.
+/// \brief Number of change ids whose outcome is kept, to answer repeats.
 constexpr std::size_t kChanges = 20000;
 
 /// \brief The replicated state machine.
@@ -22,26 +23,26 @@
   std::map<std::string, wire::ChangeOutcome> mChanges;
   std::deque<std::string> mChangeOrder;
   idempotency::Table mKeys;
-  /// Time of the last command; time never runs backwards here.
+  /// Time of the last command; never decreases.
   Micros mTime = 0;
 };
 
-/// \brief Applies one committed command; equal on every replica.
+/// \brief Applies a committed command; deterministic on every replica.
 [[nodiscard]] wire::CommandOutcome Apply(State& aState,
                                          const wire::Command& aCommand);
 
-/// \brief Makes a command smaller for the log: the text of a deployment that
-/// builds on the one in force becomes a delta of it.
+/// \brief Shrinks a command for the log: the text of a deployment based on the
+/// current one is replaced by a delta.
 void Compact(const State& aState, wire::Command& aCommand);
 
-/// \brief The deployment in force, or null before the first one.
+/// \brief The current deployment, or null before the first one.
 [[nodiscard]] const wire::DeploymentVersion* Latest(
   const State& aState) noexcept;
 
-/// \brief The state as snapshot bytes; equal states give equal bytes.
+/// \brief Serializes the state as a snapshot; equal states give equal bytes.
 [[nodiscard]] std::string Save(const State& aState);
 
-/// \brief Reads snapshot bytes back.
+/// \brief Parses a snapshot.
 [[nodiscard]] Result<State> Load(const std::string& aBytes);
 
 } // namespace geraniumpond::control
--- a/include/geraniumpond/limits.h
+++ b/include/geraniumpond/limits.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-/// \brief Waiting at the entry: order, shares and early refusal.
+/// \brief Admission queue of an entry: order, fair shares and early refusal.
 namespace geraniumpond::limits {
 
 /// \brief A request that waits for a target.
@@ -22,20 +22,20 @@
   std::string mCaller;
   Priority mPriority = Priority::Normal;
   Micros mDeadline = 0;
-  /// Refused as not run when no target was free by then.
+  /// Time at which a request still in the queue is refused as not run.
   Micros mGiveUpAt = 0;
 };
 
-/// \brief One caller's work at this entry.
+/// \brief A caller's running and queued requests at this entry.
 struct CallerLoad
 {
   double mShare = 1;
   int mRunning = 0;
-  /// Waiting requests by priority, in deadline order.
+  /// Queued requests by priority, in order of deadline.
   std::array<std::set<std::pair<Micros, std::uint64_t>>, 3> mWaiting;
 };
 
-/// \brief The requests of one service that wait at this entry.
+/// \brief Admission queue of one service at this entry.
 struct WaitQueue
 {
   std::map<std::string, CallerLoad> mCallers;
@@ -46,18 +46,18 @@
   double mBulkShare = 0.5;
 };
 
-/// \brief Part of a request's deadline that it may spend waiting.
-///
-/// A refusal is only useful while the caller has time left to act on it.
+/// \brief A request may wait for 1/kWaitDivisor of its remaining time, so that
+/// a refusal leaves the caller time to act on it.
 constexpr Micros kWaitDivisor = 10;
 
-/// \brief Latest time at which a request may still be refused.
+/// \brief Time until which a request may stay in the queue.
 [[nodiscard]] Micros GiveUpTime(Micros aNow, Micros aDeadline) noexcept;
 
-/// \brief Waiters that are served before a newcomer of this priority.
+/// \brief Number of queued requests served before a new one of this priority.
 [[nodiscard]] int Ahead(const WaitQueue& aQueue, Priority aPriority) noexcept;
 
-/// \brief True when a newcomer may wait, false when it is refused at once.
+/// \brief True when a new request may be queued, false when it must be
+/// refused at once.
 [[nodiscard]] bool MayWait(const WaitQueue& aQueue,
                            const Waiter& aWaiter,
                            Micros aExpectedWait,
@@ -65,14 +65,14 @@
 
 void Add(WaitQueue& aQueue, const Waiter& aWaiter, double aShare);
 
-/// \brief Removes a waiter; false when it does not wait.
+/// \brief Removes a request; false when it is not in the queue.
 bool Remove(WaitQueue& aQueue, std::uint64_t aRequest);
 
-/// \brief The request to run next within `aCapacity` attempts, removed from
-/// the queue; nothing when no waiter may run.
+/// \brief Removes and returns the request to run next, given `aCapacity`
+/// slots in total; nothing when none may run.
 [[nodiscard]] std::optional<Waiter> Next(WaitQueue& aQueue, int aCapacity);
 
-/// \brief Notes that an attempt of a caller began or ended.
+/// \brief Adjusts the number of a caller's running attempts by `aChange`.
 void Running(WaitQueue& aQueue,
              const std::string& aCaller,
              Priority aPriority,
--- a/include/geraniumpond/membership.h
+++ b/include/geraniumpond/membership.h
@@ -10,16 +10,17 @@
 
 #include "impl/wire.h"
 
-/// \brief The directory of hosts and targets that every host keeps.
+/// \brief The replicated directory of hosts and targets.
 ///
-/// A fact merges like a pair of counters: order, loss and repetition of
-/// messages never change the result, and no older report undoes a drain.
+/// A fact merges like a pair of counters, as in a CRDT: reordering, loss and
+/// repetition of messages do not change the result, and no older report undoes
+/// a drain.
 namespace geraniumpond::membership {
 
 /// \brief Identity of a fact: kind, service, id.
 using FactKey = std::tuple<wire::FactKind, std::string, std::string>;
 
-/// \brief A fact and when it last changed here.
+/// \brief A fact and the time of its last change on this host.
 struct Known
 {
   wire::Fact mFact;
@@ -30,51 +31,51 @@
 struct Directory
 {
   std::map<FactKey, Known> mFacts;
-  /// Exclusive-or of the hashes of a service's facts; hosts under "".
+  /// XOR of the hashes of each service's facts; hosts are under "".
   std::map<std::string, std::uint64_t> mDigests;
   std::uint64_t mRoot = 0;
 };
 
 [[nodiscard]] FactKey KeyOf(const wire::Fact& aFact);
 
-/// \brief True while a fact's drain register is odd.
+/// \brief True while the fact's drain sequence is odd.
 [[nodiscard]] bool IsDraining(const wire::Fact& aFact) noexcept;
 
-/// \brief Joins a fact into the directory; true when anything changed.
+/// \brief Merges a fact into the directory; true when the directory changed.
 bool Merge(Directory& aDirectory, const wire::Fact& aFact, Micros aNow);
 
 /// \brief The fact with this key, or null.
 [[nodiscard]] const wire::Fact* Find(const Directory& aDirectory,
                                      const FactKey& aKey) noexcept;
 
-/// \brief Hosts that are not gone, in the order of their ids.
+/// \brief Hosts that are not gone, ordered by id.
 [[nodiscard]] std::vector<const wire::Fact*> Hosts(const Directory& aDirectory);
 
-/// \brief Facts of one service ("" for hosts), gone ones included.
+/// \brief Facts of one service ("" for hosts), including gone ones.
 [[nodiscard]] std::vector<const wire::Fact*> FactsOf(
   const Directory& aDirectory,
   const std::string& aService);
 
-/// \brief Forgets facts that have been gone for longer than `aAge`.
+/// \brief Removes facts that have been gone for longer than `aAge`.
 void Forget(Directory& aDirectory, Micros aNow, Micros aAge);
 
-/// \brief The `aCount` hosts that serve a service, best first: rendezvous
+/// \brief The `aCount` entries of a service, highest rank first, by rendezvous
 /// hashing over the entry hosts that are neither gone nor draining.
 [[nodiscard]] std::vector<const wire::Fact*>
 EntriesOf(const Directory& aDirectory, const std::string& aService, int aCount);
 
-/// \brief The entry among `aEntries` that a target is home to: one of the
-/// target's own data centre before any other, by rendezvous hashing.
+/// \brief The entry among `aEntries` to which a target is assigned, by
+/// rendezvous hashing; entries in the target's data centre come first.
 [[nodiscard]] const wire::Fact* HomeOf(
   const std::vector<const wire::Fact*>& aEntries,
   const wire::Fact& aTarget);
 
-/// \brief Hosts of a data centre's ring that follow `aSelf`, `aCount` at most.
+/// \brief Up to `aCount` hosts that follow `aSelf` in its data centre's ring.
 [[nodiscard]] std::vector<const wire::Fact*>
 Successors(const Directory& aDirectory, const std::string& aSelf, int aCount);
 
-/// \brief Hosts a change is pushed to: the own data centre, and one relay in
-/// each other one.
+/// \brief Recipients of a change: hosts of the same data centre, and one relay
+/// in each other data centre.
 struct Spread
 {
   std::vector<const wire::Fact*> mLocal;
--- a/include/geraniumpond/retries.h
+++ b/include/geraniumpond/retries.h
@@ -2,22 +2,22 @@
 
 #include <geraniumpond/time.h>
 
-/// \brief One budget per service for every attempt beyond the first.
+/// \brief Per-service budget of retries and hedges.
 namespace geraniumpond::retries {
 
-/// \brief Extra attempts earned by first attempts.
+/// \brief Token bucket of extra attempts, filled by first attempts.
 struct RetryBudget
 {
-  /// Extra attempts per first attempt.
+  /// Tokens added by each first attempt.
   double mRatio = 0.05;
-  /// Most extra attempts that may be saved up.
+  /// Capacity of the bucket.
   double mMaxSaved = 10;
   double mSaved = 5;
-  /// Share of the budget that hedges leave to retries.
+  /// Tokens that hedges leave for retries.
   double mHedgeReserve = 3;
 };
 
-/// \brief What one attempt told about whether the request ran.
+/// \brief Whether a request ran, as far as an attempt shows.
 enum class Effect
 {
   DidNotRun,
@@ -25,7 +25,7 @@
   Ran
 };
 
-/// \brief What is known about a request that may be tried again.
+/// \brief State of a request that decides whether it is sent again.
 struct Situation
 {
   bool mIdempotent = false;
@@ -35,18 +35,19 @@
   Micros mDeadline = 0;
 };
 
-/// \brief Most attempts of one request, the first one included.
+/// \brief Maximum attempts per request, including the first.
 constexpr int kMaxAttempts = 4;
 
-/// \brief Notes a first attempt, which earns its share of an extra one.
+/// \brief Adds the tokens that a first attempt earns.
 void Deposit(RetryBudget& aBudget) noexcept;
 
-/// \brief True, and paid for, when the request may be sent again.
+/// \brief Spends a token and returns true when the request may be retried.
 [[nodiscard]] bool MayRetry(RetryBudget& aBudget,
                             const Situation& aSituation,
                             Micros aNow) noexcept;
 
-/// \brief True, and paid for, when a second attempt may race the first.
+/// \brief Spends a token and returns true when the request may be hedged by a
+/// second concurrent attempt.
 [[nodiscard]] bool MayHedge(RetryBudget& aBudget,
                             const Situation& aSituation,
                             Micros aNow) noexcept;
--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-/// \brief Choice of a target for each attempt, from this entry's own
-/// knowledge first and from reports faded by their age.
+/// \brief Selects a target for each attempt, from this entry's own
+/// measurements and from load reports that decay with age.
 namespace geraniumpond::routing {
 
-/// \brief How an attempt ended, as far as routing is concerned.
+/// \brief Outcome of an attempt, as routing distinguishes it.
 enum class Verdict
 {
   Good,
@@ -21,7 +21,7 @@
   Cancelled
 };
 
-/// \brief One attempt that is running on a target.
+/// \brief An attempt in flight on a target.
 struct Running
 {
   std::uint64_t mAttempt = 0;
@@ -31,15 +31,15 @@
   bool mBulk = false;
 };
 
-/// \brief What a target is asked for.
+/// \brief The work for which a target is selected.
 struct Ask
 {
   std::size_t mKind = 0;
-  /// Bulk work takes free slots only, and never a target's last one.
+  /// Bulk work uses free slots only, and never a target's last one.
   bool mBulk = false;
 };
 
-/// \brief What one entry knows about one target.
+/// \brief The state that one entry keeps about one target.
 struct Target
 {
   std::string mId;
@@ -48,76 +48,78 @@
   std::uint64_t mIncarnation = 0;
   int mSlots = 1;
   bool mDraining = false;
-  /// Preferred by this entry; each target is home to one of the entries that
-  /// serve its service, so that their first choices do not meet.
+  /// Whether this entry prefers the target. Each target is assigned to one of
+  /// the entries of its service, so that their first choices do not collide.
   bool mHome = true;
   Micros mStartedAt = 0;
 
-  /// Attempts of this entry, oldest first.
+  /// Attempts of this entry in flight, oldest first.
   std::deque<Running> mRunning;
-  /// Smoothed latency over the kind's usual one; 1 is as fast as the rest.
+  /// Smoothed ratio of latency to the kind's typical latency; 1 is average.
   double mSlowness = 1;
   Micros mSampledAt = 0;
   int mSamples = 0;
 
-  /// Attempts of other entries, as the last report showed them.
+  /// Attempts of other entries in flight, according to the last report.
   double mOthers = 0;
-  /// Smoothed over many reports; what an old report fades to.
+  /// Average over many reports, towards which an old report decays.
   double mOthersUsual = 0;
   Micros mReportedAt = 0;
 
   int mFailures = 0;
   int mEjections = 0;
   Micros mEjectedUntil = 0;
-  /// Set while one attempt probes an ejected target.
+  /// Set while an attempt probes a target after its ejection.
   bool mProbing = false;
 };
 
-/// \brief Constants of the choice.
+/// \brief Parameters of target selection.
 struct Rules
 {
   /// Weight of a new latency sample.
   double mSmoothing = 0.1;
-  /// Time in which a report of other entries' work comes halfway back to
-  /// their usual work.
+  /// Half-life of a report of other entries' work, which decays to their
+  /// average work.
   Micros mReportHalfLife = 20 * kMillisecond;
-  /// Time in which an outlying latency comes halfway back to the usual.
+  /// Half-life of the latency of an idle outlier.
   Micros mLatencyHalfLife = 1500 * kMillisecond;
-  /// Failures in a row that eject a target.
+  /// Consecutive failures that eject a target.
   int mFailuresToEject = 3;
   Micros mEjection = 1500 * kMillisecond;
   Micros mMaxEjection = 3 * kSecond;
+  /// Largest share of targets ejected at the same time.
   double mMaxEjected = 0.3;
   Micros mSlowStart = 10 * kSecond;
-  /// Attempts beyond the slots that may wait at a target.
+  /// Attempts beyond a target's slots that may queue at it.
   int mExtra = 1;
   /// Added to the score of a target in another data centre.
   Micros mDistance = 3 * kMillisecond;
-  /// Added for a target that is home to another entry, in usual latencies.
+  /// Added for a target assigned to another entry, in typical latencies.
   double mAwayPenalty = 1.5;
-  /// Weight of work in flight on a target that still has free slots: others'
-  /// work is known late, so that an emptier target is the safer one.
+  /// Weight of work in flight on a target that still has free slots. Reports
+  /// of other entries' work are late, so that an emptier target is safer.
   double mCrowding = 0.5;
-  /// Weight of the time that an attempt would wait for a slot.
+  /// Weight of the expected wait for a slot.
   double mWaitWeight = 2.0;
-  /// Entries that serve the service, this one included.
+  /// Number of entries of the service, including this one.
   int mEntries = 1;
 };
 
-/// \brief The targets of one service that an entry holds.
+/// \brief An entry's state for the targets of one service.
 struct TargetSet
 {
   std::vector<Target> mTargets;
   std::string mDataCentre;
   Rules mRules;
-  /// Usual latency of each kind in microseconds; 0 until the first sample.
+  /// Typical latency of each kind in microseconds; 0 before the first sample.
   std::vector<double> mKindLatency;
 };
 
-/// \brief Index of the best target, or nothing while none may take more.
+/// \brief Index of the target with the lowest score, or nothing when none has
+/// room.
 ///
-/// `aExclude` names targets already tried for this request. `aRandom` breaks
-/// ties, so that entries with the same knowledge do not choose alike.
+/// `aExclude` lists the targets already tried for this request. `aRandom`
+/// breaks ties, so that entries with the same state select different targets.
 [[nodiscard]] std::optional<std::size_t> Pick(
   const TargetSet& aSet,
   Micros aNow,
@@ -125,37 +127,38 @@
   const Ask& aAsk,
   const std::vector<std::string>& aExclude);
 
-/// \brief Expected time in microseconds of one more attempt on a target.
+/// \brief Cost in microseconds of one more attempt on a target; lower is
+/// better.
 [[nodiscard]] double Score(const TargetSet& aSet,
                            const Target& aTarget,
                            const Ask& aAsk,
                            Micros aNow) noexcept;
 
-/// \brief Usual latency of a kind over all targets, in microseconds.
+/// \brief Typical latency of a kind over all targets, in microseconds.
 [[nodiscard]] double UsualLatency(const TargetSet& aSet,
                                   std::size_t aKind) noexcept;
 
-/// \brief True while a target may take one more attempt from this entry.
+/// \brief True when a target accepts one more attempt from this entry.
 [[nodiscard]] bool HasRoom(const TargetSet& aSet,
                            const Target& aTarget,
                            const Ask& aAsk,
                            Micros aNow) noexcept;
 
-/// \brief Notes that an attempt was sent.
+/// \brief Records that an attempt was sent.
 void Begin(TargetSet& aSet,
            std::size_t aIndex,
            std::uint64_t aAttempt,
            const Ask& aAsk,
            Micros aNow);
 
-/// \brief Notes that an attempt ended.
+/// \brief Records the end of an attempt and updates the target's statistics.
 void Finish(TargetSet& aSet,
             const std::string& aTarget,
             std::uint64_t aAttempt,
             Verdict aVerdict,
             Micros aNow);
 
-/// \brief Takes a target's own report of its work in flight.
+/// \brief Applies a target's report of its total work in flight.
 void Report(TargetSet& aSet,
             const std::string& aTarget,
             std::uint32_t aInFlight,
@@ -164,10 +167,10 @@
 /// \brief The target with this id, or null.
 [[nodiscard]] Target* Find(TargetSet& aSet, const std::string& aId) noexcept;
 
-/// \brief Share of targets that are ejected now, 0 to 1.
+/// \brief Share of targets that are ejected, 0 to 1.
 [[nodiscard]] double EjectedShare(const TargetSet& aSet, Micros aNow) noexcept;
 
-/// \brief Attempts that the set's targets can run at the same time.
+/// \brief Total slots of the targets neither draining nor ejected.
 [[nodiscard]] int Capacity(const TargetSet& aSet, Micros aNow) noexcept;
 
 } // namespace geraniumpond::routing
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -32,7 +32,8 @@
   return outcome;
 }
 
-// The expected version was checked before: the base of a delta is in force.
+// The caller has checked the expected version, so that the base of a delta is
+// the current deployment.
 std::string TextOf(const State& aState, const wire::ApplyDeployment& aApply)
 {
   const wire::DeploymentVersion* latest = Latest(aState);
--- a/src/idempotency/idempotency.cpp
+++ b/src/idempotency/idempotency.cpp
@@ -12,7 +12,7 @@
   return record;
 }
 
-// A claim that arrives after its own release is a late copy and stays void.
+// A claim that arrives after its own release is a delayed copy and is ignored.
 bool MayReplace(const wire::KeyRecord& aRecord, const wire::ClaimKey& aClaim)
 {
   return aRecord.phase() == wire::KEY_RELEASED &&
@@ -58,7 +58,8 @@
                       const std::string& aService,
                       const std::string& aKey)
 {
-  // Names hold no '/', so that no caller can spell another one's scope.
+  // Names of callers and services contain no '/', so that a caller cannot form
+  // a key in another scope.
   return aCaller + "/" + aService + "/" + aKey;
 }
 
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -14,15 +14,16 @@
   return std::max(1, static_cast<int>(aQueue.mBulkShare * aCapacity));
 }
 
-// Bulk work may borrow what is idle only up to its share: a slot given to a
-// long transfer does not come back when an urgent request arrives.
+// Bulk work may use idle slots only up to its share, as a slot given to a long
+// transfer cannot be reclaimed when an urgent request arrives.
 bool BulkAllowed(const WaitQueue& aQueue, int aCapacity) noexcept
 {
   return aQueue.mRunning[kBulk] < BulkLimit(aQueue, aCapacity);
 }
 
-// The caller with the least work for its share goes first; what others leave
-// idle is thereby borrowed, and given back one attempt at a time.
+// Weighted fair sharing: the caller with the least running work per share goes
+// first. Callers may thereby exceed their share while others are idle, and
+// return to it as their attempts end.
 CallerLoad* Neediest(WaitQueue& aQueue, int aPriority)
 {
   CallerLoad* best = nullptr;
@@ -53,8 +54,8 @@
   return static_cast<int>(count);
 }
 
-// A caller may fill the queue alone, but once others wait too it keeps only
-// its share of the places.
+// A single caller may fill the queue. Once it is full, callers below an equal
+// share of the places may exceed the limit, up to twice the limit in total.
 bool HasPlace(const WaitQueue& aQueue, const Waiter& aWaiter) noexcept
 {
   const int total = static_cast<int>(aQueue.mWaiters.size());
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -31,8 +31,8 @@
   aDirectory.mRoot ^= digest;
 }
 
-// A tie on the sequence means that two hosts wrote at the same time; the
-// larger origin wins everywhere.
+// Equal sequences mean that two hosts wrote concurrently; the larger origin
+// wins on every host.
 bool LeaseIsNewer(const wire::Fact& aNew, const wire::Fact& aOld)
 {
   return std::pair(aNew.sequence(), aNew.origin()) >
--- a/src/retries/retries.cpp
+++ b/src/retries/retries.cpp
@@ -20,8 +20,8 @@
       aSituation.mAttempts >= kMaxAttempts) {
     return false;
   }
-  // Under overload every extra attempt takes the place of a first one. One
-  // that did not run took no place.
+  // Under overload an extra attempt displaces a first attempt, unless the
+  // previous attempt did not run and thus used no capacity.
   if (aSituation.mOverloaded && aSituation.mEffect != Effect::DidNotRun) {
     return false;
   }
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-// A failure counts as this many usual latencies, so that a target that fails
-// fast looks slow rather than idle.
+// Slowness assigned to a failure, so that a target that fails fast does not
+// look fast.
 constexpr double kFailurePenalty = 10.0;
-// Slowness above this fades back towards it.
+// Slowness above this is an outlier and decays to this value while idle.
 constexpr double kOutlier = 2.0;
 constexpr double kDefaultLatency = 20.0 * kMillisecond;
-// Weight of one sample in the usual latency of its kind.
+// Weight of one sample in the typical latency of its kind.
 constexpr double kUsualWeight = 0.01;
-// Weight of one report in the usual work of others.
+// Weight of one report in the average work of other entries.
 constexpr double kReportWeight = 0.05;
 constexpr int kMaxSamples = 1000;
 constexpr int kMaxDoublings = 4;
-// Three tenths are not more than 0.3.
+// Tolerance for rounding, so that a share equal to the limit is allowed.
 constexpr double kRounding = 1e-9;
 
 double Fade(Micros aAge, Micros aHalfLife) noexcept
@@ -30,8 +30,8 @@
   return std::exp2(-static_cast<double>(aAge) / static_cast<double>(aHalfLife));
 }
 
-// An attempt that is already older than its kind's latency is itself a sample:
-// a target that has just become slow shows before any answer does.
+// The age of the oldest attempt is a lower bound on its latency, so that a
+// target that has just become slow is detected before it answers.
 double Slowness(const TargetSet& aSet,
                 const Target& aTarget,
                 Micros aNow) noexcept
@@ -64,7 +64,8 @@
                 double aSlowness,
                 Micros aNow)
 {
-  // The first samples count in full, so that a new target is known soon.
+  // The first samples are averaged equally, so that the estimate for a new
+  // target converges quickly.
   const double weight =
     std::max(aSet.mRules.mSmoothing, 1.0 / (aTarget.mSamples + 1));
   const double known =
@@ -116,7 +117,7 @@
   TakeSample(aSet, aTarget, aSlowness, aNow);
 }
 
-// The target is full of other entries' work.
+// A refusal shows that other entries' work fills the target.
 void TakeRefusal(Target& aTarget, Micros aNow)
 {
   const double free = static_cast<double>(aTarget.mSlots) -
@@ -207,7 +208,7 @@
       TakeFailure(aSet, *target, slowness, aNow);
       break;
     case Verdict::Cancelled:
-      // A loser of a hedge was at least this slow.
+      // A cancelled attempt would have taken at least this long.
       if (slowness > target->mSlowness) {
         TakeSample(aSet, *target, slowness, aNow);
       }
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// Part of an attempt's time that is always taken to remain.
+// Smallest share of an attempt's latency that is assumed to remain.
 constexpr double kLeastRemaining = 0.25;
-// Scores within this fraction of the best are ties.
+// Relative difference below which scores are ties.
 constexpr double kTie = 1e-9;
-// A target is never held back below this share by its slow start.
+// Smallest share of its slots that a target gets during its slow start.
 constexpr double kSlowStartFloor = 0.1;
 
-// Share of its full work that a target that has just started may get.
+// Share of its slots that a target gets during its slow start.
 double Warmth(const TargetSet& aSet,
               const Target& aTarget,
               Micros aNow) noexcept
@@ -28,8 +28,8 @@
   return std::max(kSlowStartFloor, share);
 }
 
-// Time until the oldest attempt here frees its slot. Service times are never
-// known, so that some of the smoothed latency or of the age always remains.
+// Expected time until a slot becomes free. Service times are unknown, so that
+// a share of the smoothed latency or of the age is always assumed to remain.
 double Remaining(const TargetSet& aSet,
                  const Target& aTarget,
                  double aOthers,
@@ -58,8 +58,8 @@
   }
   const double others = Others(aSet, aTarget, aNow);
   const double first = Remaining(aSet, aTarget, others, aLatency, aNow);
-  // Others' work is an estimate: less than one more than the slots hold means
-  // that there may be a wait.
+  // Other entries' work is an estimate, so that an excess below one attempt is
+  // taken as the probability of a wait.
   return aExcess < 1 ? aExcess * first
                      : first + (aExcess - 1.0) / aSlots * aLatency;
 }
@@ -143,7 +143,7 @@
       continue;
     }
     if (score <= bestScore * (1.0 + kTie)) {
-      // Reservoir choice among equals, one random word for the whole scan.
+      // Reservoir sampling among ties; one seed serves the whole scan.
       ++ties;
       aRandom = aRandom * 6364136223846793005ULL + 1442695040888963407ULL;
       if ((aRandom >> 33) % ties == 0) {
