--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -32,7 +32,7 @@
 };
 
 /// \brief The work for which a target is selected.
-struct Ask
+struct AttemptSpec
 {
   std::size_t mKind = 0;
   /// Bulk work uses free slots only, and never a target's last one.
@@ -124,14 +124,14 @@
   const TargetSet& aSet,
   Micros aNow,
   std::uint64_t aRandom,
-  const Ask& aAsk,
+  const AttemptSpec& aSpec,
   const std::vector<std::string>& aExclude);
 
 /// \brief Cost in microseconds of one more attempt on a target; lower is
 /// better.
 [[nodiscard]] double Score(const TargetSet& aSet,
                            const Target& aTarget,
-                           const Ask& aAsk,
+                           const AttemptSpec& aSpec,
                            Micros aNow) noexcept;
 
 /// \brief Typical latency of a kind over all targets, in microseconds.
@@ -141,14 +141,14 @@
 /// \brief True when a target accepts one more attempt from this entry.
 [[nodiscard]] bool HasRoom(const TargetSet& aSet,
                            const Target& aTarget,
-                           const Ask& aAsk,
+                           const AttemptSpec& aSpec,
                            Micros aNow) noexcept;
 
 /// \brief Records that an attempt was sent.
 void Begin(TargetSet& aSet,
            std::size_t aIndex,
            std::uint64_t aAttempt,
-           const Ask& aAsk,
+           const AttemptSpec& aSpec,
            Micros aNow);
 
 /// \brief Records the end of an attempt and updates the target's statistics.
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -69,7 +69,7 @@
 void Forget(Context& aContext, std::uint64_t aRequest);
 [[nodiscard]] Micros ExpectedWait(const ServiceState& aService,
                                   const Request& aRequest) noexcept;
-[[nodiscard]] routing::Ask AskOf(const Request& aRequest) noexcept;
+[[nodiscard]] routing::AttemptSpec AskOf(const Request& aRequest) noexcept;
 [[nodiscard]] bool IsOverloaded(const ServiceState& aService) noexcept;
 
 // --- attempts.cpp: from dispatch to the last byte
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-routing::Ask AskOf(const Request& aRequest) noexcept
+routing::AttemptSpec AskOf(const Request& aRequest) noexcept
 {
   return { aRequest.mKindIndex, aRequest.mPriority == Priority::Bulk };
 }
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -166,11 +166,11 @@
 void Begin(TargetSet& aSet,
            std::size_t aIndex,
            std::uint64_t aAttempt,
-           const Ask& aAsk,
+           const AttemptSpec& aSpec,
            Micros aNow)
 {
   Target& target = aSet.mTargets[aIndex];
-  target.mRunning.push_back({ aAttempt, aNow, aAsk.mKind, aAsk.mBulk });
+  target.mRunning.push_back({ aAttempt, aNow, aSpec.mKind, aSpec.mBulk });
   if (OnProbation(target)) {
     target.mProbing = true;
   }
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -82,19 +82,19 @@
 
 double Score(const TargetSet& aSet,
              const Target& aTarget,
-             const Ask& aAsk,
+             const AttemptSpec& aSpec,
              Micros aNow) noexcept
 {
   const Rules& rules = aSet.mRules;
   const double slots = aTarget.mSlots * Warmth(aSet, aTarget, aNow);
   const double work = static_cast<double>(aTarget.mRunning.size()) +
                       Others(aSet, aTarget, aNow) + 1.0;
-  const double latency = ExpectedLatency(aSet, aTarget, aAsk.mKind, aNow);
+  const double latency = ExpectedLatency(aSet, aTarget, aSpec.mKind, aNow);
   double score = latency * (1.0 + rules.mCrowding * work / slots);
   score += rules.mWaitWeight *
            SlotWait(aSet, aTarget, work - slots, slots, latency, aNow);
   if (!aTarget.mHome) {
-    score += rules.mAwayPenalty * UsualLatency(aSet, aAsk.mKind);
+    score += rules.mAwayPenalty * UsualLatency(aSet, aSpec.mKind);
   }
   if (aTarget.mDataCentre != aSet.mDataCentre) {
     score += static_cast<double>(rules.mDistance);
@@ -104,7 +104,7 @@
 
 bool HasRoom(const TargetSet& aSet,
              const Target& aTarget,
-             const Ask& aAsk,
+             const AttemptSpec& aSpec,
              Micros aNow) noexcept
 {
   if (aTarget.mDraining || IsEjected(aTarget, aNow)) {
@@ -114,7 +114,7 @@
     return aTarget.mRunning.empty();
   }
   const int running = static_cast<int>(aTarget.mRunning.size());
-  if (aAsk.mBulk) {
+  if (aSpec.mBulk) {
     return running < aTarget.mSlots &&
            BulkRunning(aTarget) < std::max(aTarget.mSlots - 1, 1);
   }
@@ -124,7 +124,7 @@
 std::optional<std::size_t> Pick(const TargetSet& aSet,
                                 Micros aNow,
                                 std::uint64_t aRandom,
-                                const Ask& aAsk,
+                                const AttemptSpec& aSpec,
                                 const std::vector<std::string>& aExclude)
 {
   std::optional<std::size_t> best;
@@ -132,10 +132,10 @@
   std::uint64_t ties = 0;
   for (std::size_t i = 0; i < aSet.mTargets.size(); ++i) {
     const Target& target = aSet.mTargets[i];
-    if (!HasRoom(aSet, target, aAsk, aNow) || Excluded(aExclude, target.mId)) {
+    if (!HasRoom(aSet, target, aSpec, aNow) || Excluded(aExclude, target.mId)) {
       continue;
     }
-    const double score = Score(aSet, target, aAsk, aNow);
+    const double score = Score(aSet, target, aSpec, aNow);
     if (score < bestScore * (1.0 - kTie)) {
       best = i;
       bestScore = score;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -30,15 +30,15 @@
 // The naive choice: all targets with room, sorted by score.
 std::vector<std::string> NaiveBest(const TargetSet& aSet,
                                    Micros aNow,
-                                   const Ask& aAsk,
+                                   const AttemptSpec& aSpec,
                                    const std::vector<std::string>& aExclude)
 {
   std::vector<std::pair<double, std::string>> all;
   for (const Target& target : aSet.mTargets) {
     const bool excluded =
       std::count(aExclude.begin(), aExclude.end(), target.mId) != 0;
-    if (!excluded && HasRoom(aSet, target, aAsk, aNow)) {
-      all.emplace_back(Score(aSet, target, aAsk, aNow), target.mId);
+    if (!excluded && HasRoom(aSet, target, aSpec, aNow)) {
+      all.emplace_back(Score(aSet, target, aSpec, aNow), target.mId);
     }
   }
   std::sort(all.begin(), all.end());
@@ -78,7 +78,7 @@
       Micros now = kSecond;
       for (std::uint64_t step = 1; step < 200; ++step) {
         now += static_cast<Micros>(random() % (5 * kMillisecond));
-        const Ask ask{ random() % 2, random() % 5 == 0 };
+        const AttemptSpec ask{ random() % 2, random() % 5 == 0 };
         std::vector<std::string> exclude;
         if (random() % 4 == 0) {
           exclude.push_back("t0");
