--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -135,8 +135,8 @@
                            Micros aNow) noexcept;
 
 /// \brief Typical latency of a kind over all targets, in microseconds.
-[[nodiscard]] double UsualLatency(const TargetSet& aSet,
-                                  std::size_t aKind) noexcept;
+[[nodiscard]] double TypicalLatency(const TargetSet& aSet,
+                                    std::size_t aKind) noexcept;
 
 /// \brief True when a target accepts one more attempt from this entry.
 [[nodiscard]] bool HasRoom(const TargetSet& aSet,
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -114,7 +114,7 @@
   if (rules.mHedge && aRequest.mIdempotent && aRequest.mAttemptCount == 1) {
     const auto delay = static_cast<Micros>(
       kHedgeAfter *
-      routing::UsualLatency(service.mTargets, aRequest.mKindIndex));
+      routing::TypicalLatency(service.mTargets, aRequest.mKindIndex));
     state.mTimers.insert(
       { aContext.mNow + delay, TimerKind::Hedge, aRequest.mId });
   }
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -83,7 +83,7 @@
   }
   const double ahead = limits::Ahead(aService.mQueue, aRequest.mPriority);
   const double latency =
-    routing::UsualLatency(aService.mTargets, aRequest.mKindIndex);
+    routing::TypicalLatency(aService.mTargets, aRequest.mKindIndex);
   return static_cast<Micros>(latency * ahead / std::max(running, 1));
 }
 
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -14,7 +14,7 @@
 constexpr double kOutlier = 2.0;
 constexpr double kDefaultLatency = 20.0 * kMillisecond;
 // Weight of one sample in the typical latency of its kind.
-constexpr double kUsualWeight = 0.01;
+constexpr double kTypicalLatencyWeight = 0.01;
 // Weight of one report in the average work of other entries.
 constexpr double kReportWeight = 0.05;
 constexpr int kMaxSamples = 1000;
@@ -47,16 +47,17 @@
   }
   const Running& oldest = aTarget.mRunning.front();
   const auto age = static_cast<double>(aNow - oldest.mStartedAt);
-  return std::max(slowness, age / UsualLatency(aSet, oldest.mKind));
+  return std::max(slowness, age / TypicalLatency(aSet, oldest.mKind));
 }
 
-void LearnUsual(TargetSet& aSet, std::size_t aKind, double aSample)
+void UpdateTypicalLatency(TargetSet& aSet, std::size_t aKind, double aSample)
 {
   if (aSet.mKindLatency.size() <= aKind) {
     aSet.mKindLatency.resize(aKind + 1);
   }
   double& usual = aSet.mKindLatency[aKind];
-  usual = usual <= 0 ? aSample : usual + kUsualWeight * (aSample - usual);
+  usual =
+    usual <= 0 ? aSample : usual + kTypicalLatencyWeight * (aSample - usual);
 }
 
 void TakeSample(const TargetSet& aSet,
@@ -128,7 +129,7 @@
 
 } // namespace
 
-double UsualLatency(const TargetSet& aSet, std::size_t aKind) noexcept
+double TypicalLatency(const TargetSet& aSet, std::size_t aKind) noexcept
 {
   const bool known =
     aKind < aSet.mKindLatency.size() && aSet.mKindLatency[aKind] > 0;
@@ -140,7 +141,7 @@
                        std::size_t aKind,
                        Micros aNow) noexcept
 {
-  return Slowness(aSet, aTarget, aNow) * UsualLatency(aSet, aKind);
+  return Slowness(aSet, aTarget, aNow) * TypicalLatency(aSet, aKind);
 }
 
 double Others(const TargetSet& aSet,
@@ -197,9 +198,9 @@
   const auto sample = static_cast<double>(aNow - running.mStartedAt);
   target->mRunning.erase(found);
   if (aVerdict == Verdict::Good) {
-    LearnUsual(aSet, running.mKind, sample);
+    UpdateTypicalLatency(aSet, running.mKind, sample);
   }
-  const double slowness = sample / UsualLatency(aSet, running.mKind);
+  const double slowness = sample / TypicalLatency(aSet, running.mKind);
   switch (aVerdict) {
     case Verdict::Good:
       TakeSuccess(aSet, *target, slowness, aNow);
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -39,7 +39,7 @@
   double remaining = aLatency;
   if (!aTarget.mRunning.empty()) {
     const Running& oldest = aTarget.mRunning.front();
-    const double usual = aTarget.mSlowness * UsualLatency(aSet, oldest.mKind);
+    const double usual = aTarget.mSlowness * TypicalLatency(aSet, oldest.mKind);
     const auto age = static_cast<double>(aNow - oldest.mStartedAt);
     remaining = std::max(usual - age, kLeastRemaining * std::max(usual, age));
   }
@@ -94,7 +94,7 @@
   score += rules.mWaitWeight *
            SlotWait(aSet, aTarget, work - slots, slots, latency, aNow);
   if (!aTarget.mHome) {
-    score += rules.mAwayPenalty * UsualLatency(aSet, aSpec.mKind);
+    score += rules.mAwayPenalty * TypicalLatency(aSet, aSpec.mKind);
   }
   if (aTarget.mDataCentre != aSet.mDataCentre) {
     score += static_cast<double>(rules.mDistance);
