--- a/bench/step_bench.cpp
+++ b/bench/step_bench.cpp
@@ -19,7 +19,7 @@
     target.mDataCentre = "dc" + std::to_string(i % 4);
     target.mSlots = 4;
     target.mHome = i % 4 == 0;
-    target.mOthers = i % 3;
+    target.mOthersInFlight = i % 3;
     set.mTargets.push_back(target);
   }
   return set;
--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -61,9 +61,9 @@
   int mSamples = 0;
 
   /// Attempts of other entries in flight, according to the last report.
-  double mOthers = 0;
+  double mOthersInFlight = 0;
   /// Average over many reports, towards which an old report decays.
-  double mOthersUsual = 0;
+  double mOthersAverage = 0;
   Micros mReportedAt = 0;
 
   int mFailures = 0;
--- a/src/node/views.cpp
+++ b/src/node/views.cpp
@@ -69,7 +69,7 @@
   object.set("ejected", aTarget.mEjectedUntil > aNow);
   object.set("in_flight", static_cast<int>(aTarget.mRunning.size()));
   object.set("slowness", aTarget.mSlowness);
-  object.set("others", aTarget.mOthers);
+  object.set("others", aTarget.mOthersInFlight);
   if (aTarget.mReportedAt > 0) {
     object.set("report_age_ms",
                Milliseconds(static_cast<double>(aNow - aTarget.mReportedAt)));
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -123,7 +123,7 @@
 {
   const double free = static_cast<double>(aTarget.mSlots) -
                       static_cast<double>(aTarget.mRunning.size());
-  aTarget.mOthers = std::max(aTarget.mOthers, free + 1.0);
+  aTarget.mOthersInFlight = std::max(aTarget.mOthersInFlight, free + 1.0);
   aTarget.mReportedAt = aNow;
 }
 
@@ -144,14 +144,14 @@
   return Slowness(aSet, aTarget, aNow) * TypicalLatency(aSet, aKind);
 }
 
-double Others(const TargetSet& aSet,
-              const Target& aTarget,
-              Micros aNow) noexcept
+double OthersInFlight(const TargetSet& aSet,
+                      const Target& aTarget,
+                      Micros aNow) noexcept
 {
   const double fade =
     Fade(aNow - aTarget.mReportedAt, aSet.mRules.mReportHalfLife);
-  const double usual = aTarget.mOthersUsual;
-  return usual + (aTarget.mOthers - usual) * fade;
+  const double usual = aTarget.mOthersAverage;
+  return usual + (aTarget.mOthersInFlight - usual) * fade;
 }
 
 bool IsEjected(const Target& aTarget, Micros aNow) noexcept
@@ -231,9 +231,9 @@
     return;
   }
   const double own = static_cast<double>(target->mRunning.size());
-  target->mOthers = std::max(0.0, static_cast<double>(aInFlight) - own);
-  target->mOthersUsual +=
-    kReportWeight * (target->mOthers - target->mOthersUsual);
+  target->mOthersInFlight = std::max(0.0, static_cast<double>(aInFlight) - own);
+  target->mOthersAverage +=
+    kReportWeight * (target->mOthersInFlight - target->mOthersAverage);
   target->mReportedAt = aNow;
 }
 
--- a/src/routing/latency.h
+++ b/src/routing/latency.h
@@ -13,9 +13,9 @@
 
 /// \brief Estimate of other entries' attempts in flight on a target, from the
 /// last report and its age.
-[[nodiscard]] double Others(const TargetSet& aSet,
-                            const Target& aTarget,
-                            Micros aNow) noexcept;
+[[nodiscard]] double OthersInFlight(const TargetSet& aSet,
+                                    const Target& aTarget,
+                                    Micros aNow) noexcept;
 
 [[nodiscard]] bool IsEjected(const Target& aTarget, Micros aNow) noexcept;
 
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -56,7 +56,7 @@
   if (aExcess <= 0) {
     return 0;
   }
-  const double others = Others(aSet, aTarget, aNow);
+  const double others = OthersInFlight(aSet, aTarget, aNow);
   const double first = Remaining(aSet, aTarget, others, aLatency, aNow);
   // Other entries' work is an estimate, so that an excess below one attempt is
   // taken as the probability of a wait.
@@ -88,7 +88,7 @@
   const Rules& rules = aSet.mRules;
   const double slots = aTarget.mSlots * Warmth(aSet, aTarget, aNow);
   const double work = static_cast<double>(aTarget.mRunning.size()) +
-                      Others(aSet, aTarget, aNow) + 1.0;
+                      OthersInFlight(aSet, aTarget, aNow) + 1.0;
   const double latency = ExpectedLatency(aSet, aTarget, aSpec.mKind, aNow);
   double score = latency * (1.0 + rules.mCrowding * work / slots);
   score += rules.mWaitWeight *
