--- a/bench/step_bench.cpp
+++ b/bench/step_bench.cpp
@@ -18,7 +18,7 @@
     target.mId = "target-" + std::to_string(i);
     target.mDataCentre = "dc" + std::to_string(i % 4);
     target.mSlots = 4;
-    target.mHome = i % 4 == 0;
+    target.mPreferred = i % 4 == 0;
     target.mOthersInFlight = i % 3;
     set.mTargets.push_back(target);
   }
--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -50,7 +50,7 @@
   bool mDraining = false;
   /// Whether this entry prefers the target. Each target is assigned to one of
   /// the entries of its service, so that their first choices do not collide.
-  bool mHome = true;
+  bool mPreferred = true;
   Micros mStartedAt = 0;
 
   /// Attempts of this entry in flight, oldest first.
@@ -95,7 +95,7 @@
   /// Added to the score of a target in another data centre.
   Micros mDistance = 3 * kMillisecond;
   /// Added for a target assigned to another entry, in typical latencies.
-  double mAwayPenalty = 1.5;
+  double mNonPreferredPenalty = 1.5;
   /// Weight of work in flight on a target that still has free slots. Reports
   /// of other entries' work are late, so that an emptier target is safer.
   double mCrowding = 0.5;
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -69,7 +69,7 @@
       aState.mDirectory, { wire::FACT_TARGET, aService, target.mId });
     const wire::Fact* home =
       fact == nullptr ? nullptr : membership::HomeOf(entries, *fact);
-    target.mHome = home == nullptr || home->id() == aState.mSettings.id();
+    target.mPreferred = home == nullptr || home->id() == aState.mSettings.id();
   }
 }
 
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -93,8 +93,8 @@
   double score = latency * (1.0 + rules.mCrowding * work / slots);
   score += rules.mWaitWeight *
            SlotWait(aSet, aTarget, work - slots, slots, latency, aNow);
-  if (!aTarget.mHome) {
-    score += rules.mAwayPenalty * TypicalLatency(aSet, aSpec.mKind);
+  if (!aTarget.mPreferred) {
+    score += rules.mNonPreferredPenalty * TypicalLatency(aSet, aSpec.mKind);
   }
   if (aTarget.mDataCentre != aSet.mDataCentre) {
     score += static_cast<double>(rules.mDistance);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -246,7 +246,7 @@
   {
     TargetSet set = NewSet(3, 2);
     Warm(set);
-    set.mTargets[1].mHome = false;
+    set.mTargets[1].mPreferred = false;
     set.mTargets[2].mDataCentre = "far";
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), *Pick(set, kSecond, 1, {}, {}));
     Begin(set, 0, 900, {}, kSecond);
