--- a/include/geraniumpond/membership.h
+++ b/include/geraniumpond/membership.h
@@ -66,7 +66,7 @@
 
 /// \brief The entry among `aEntries` to which a target is assigned, by
 /// rendezvous hashing; entries in the target's data centre come first.
-[[nodiscard]] const wire::Fact* HomeOf(
+[[nodiscard]] const wire::Fact* AssignedEntry(
   const std::vector<const wire::Fact*>& aEntries,
   const wire::Fact& aTarget);
 
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -167,8 +167,8 @@
   return hosts;
 }
 
-const wire::Fact* HomeOf(const std::vector<const wire::Fact*>& aEntries,
-                         const wire::Fact& aTarget)
+const wire::Fact* AssignedEntry(const std::vector<const wire::Fact*>& aEntries,
+                                const wire::Fact& aTarget)
 {
   const wire::Fact* best = nullptr;
   std::pair<bool, std::uint64_t> bestRank;
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -68,7 +68,7 @@
     const wire::Fact* fact = membership::Find(
       aState.mDirectory, { wire::FACT_TARGET, aService, target.mId });
     const wire::Fact* home =
-      fact == nullptr ? nullptr : membership::HomeOf(entries, *fact);
+      fact == nullptr ? nullptr : membership::AssignedEntry(entries, *fact);
     target.mPreferred = home == nullptr || home->id() == aState.mSettings.id();
   }
 }
