--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -91,14 +91,14 @@
   double mMaxEjected = 0.3;
   Micros mSlowStart = 10 * kSecond;
   /// Attempts beyond a target's slots that may queue at it.
-  int mExtra = 1;
+  int mMaxQueued = 1;
   /// Added to the score of a target in another data centre.
-  Micros mDistance = 3 * kMillisecond;
+  Micros mRemotePenalty = 3 * kMillisecond;
   /// Added for a target assigned to another entry, in typical latencies.
   double mNonPreferredPenalty = 1.5;
   /// Weight of work in flight on a target that still has free slots. Reports
   /// of other entries' work are late, so that an emptier target is safer.
-  double mCrowding = 0.5;
+  double mInFlightWeight = 0.5;
   /// Weight of the expected wait for a slot.
   double mWaitWeight = 2.0;
   /// Number of entries of the service, including this one.
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -90,14 +90,14 @@
   const double work = static_cast<double>(aTarget.mRunning.size()) +
                       OthersInFlight(aSet, aTarget, aNow) + 1.0;
   const double latency = ExpectedLatency(aSet, aTarget, aSpec.mKind, aNow);
-  double score = latency * (1.0 + rules.mCrowding * work / slots);
+  double score = latency * (1.0 + rules.mInFlightWeight * work / slots);
   score += rules.mWaitWeight *
            SlotWait(aSet, aTarget, work - slots, slots, latency, aNow);
   if (!aTarget.mPreferred) {
     score += rules.mNonPreferredPenalty * TypicalLatency(aSet, aSpec.mKind);
   }
   if (aTarget.mDataCentre != aSet.mDataCentre) {
-    score += static_cast<double>(rules.mDistance);
+    score += static_cast<double>(rules.mRemotePenalty);
   }
   return score;
 }
@@ -118,7 +118,7 @@
     return running < aTarget.mSlots &&
            BulkRunning(aTarget) < std::max(aTarget.mSlots - 1, 1);
   }
-  return running < aTarget.mSlots + aSet.mRules.mExtra;
+  return running < aTarget.mSlots + aSet.mRules.mMaxQueued;
 }
 
 std::optional<std::size_t> Pick(const TargetSet& aSet,
