--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -60,10 +60,10 @@
     usual <= 0 ? aSample : usual + kTypicalLatencyWeight * (aSample - usual);
 }
 
-void TakeSample(const TargetSet& aSet,
-                Target& aTarget,
-                double aSlowness,
-                Micros aNow)
+void RecordSample(const TargetSet& aSet,
+                  Target& aTarget,
+                  double aSlowness,
+                  Micros aNow)
 {
   // The first samples are averaged equally, so that the estimate for a new
   // target converges quickly.
@@ -90,10 +90,10 @@
   aTarget.mFailures = 0;
 }
 
-void TakeFailure(const TargetSet& aSet,
-                 Target& aTarget,
-                 double aSlowness,
-                 Micros aNow)
+void RecordFailure(const TargetSet& aSet,
+                   Target& aTarget,
+                   double aSlowness,
+                   Micros aNow)
 {
   aTarget.mSlowness =
     std::max({ aTarget.mSlowness, aSlowness, kFailurePenalty });
@@ -104,10 +104,10 @@
   }
 }
 
-void TakeSuccess(const TargetSet& aSet,
-                 Target& aTarget,
-                 double aSlowness,
-                 Micros aNow)
+void RecordSuccess(const TargetSet& aSet,
+                   Target& aTarget,
+                   double aSlowness,
+                   Micros aNow)
 {
   aTarget.mFailures = 0;
   if (OnProbation(aTarget)) {
@@ -115,11 +115,11 @@
     aTarget.mEjections = 0;
     aTarget.mSamples = 0;
   }
-  TakeSample(aSet, aTarget, aSlowness, aNow);
+  RecordSample(aSet, aTarget, aSlowness, aNow);
 }
 
 // A refusal shows that other entries' work fills the target.
-void TakeRefusal(Target& aTarget, Micros aNow)
+void RecordRefusal(Target& aTarget, Micros aNow)
 {
   const double free = static_cast<double>(aTarget.mSlots) -
                       static_cast<double>(aTarget.mRunning.size());
@@ -203,19 +203,19 @@
   const double slowness = sample / TypicalLatency(aSet, running.mKind);
   switch (aVerdict) {
     case Verdict::Good:
-      TakeSuccess(aSet, *target, slowness, aNow);
+      RecordSuccess(aSet, *target, slowness, aNow);
       break;
     case Verdict::Failed:
-      TakeFailure(aSet, *target, slowness, aNow);
+      RecordFailure(aSet, *target, slowness, aNow);
       break;
     case Verdict::Cancelled:
       // A cancelled attempt would have taken at least this long.
       if (slowness > target->mSlowness) {
-        TakeSample(aSet, *target, slowness, aNow);
+        RecordSample(aSet, *target, slowness, aNow);
       }
       break;
     case Verdict::Refused:
-      TakeRefusal(*target, aNow);
+      RecordRefusal(*target, aNow);
       break;
   }
   target->mProbing = target->mProbing && !target->mRunning.empty();
