--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -11,7 +11,7 @@
 // look fast.
 constexpr double kFailurePenalty = 10.0;
 // Slowness above this is an outlier and decays to this value while idle.
-constexpr double kOutlier = 2.0;
+constexpr double kOutlierSlowness = 2.0;
 constexpr double kDefaultLatency = 20.0 * kMillisecond;
 // Weight of one sample in the typical latency of its kind.
 constexpr double kTypicalLatencyWeight = 0.01;
@@ -20,9 +20,9 @@
 constexpr int kMaxSamples = 1000;
 constexpr int kMaxDoublings = 4;
 // Tolerance for rounding, so that a share equal to the limit is allowed.
-constexpr double kRounding = 1e-9;
+constexpr double kRoundingTolerance = 1e-9;
 
-double Fade(Micros aAge, Micros aHalfLife) noexcept
+double Decay(Micros aAge, Micros aHalfLife) noexcept
 {
   if (aAge <= 0) {
     return 1.0;
@@ -38,10 +38,10 @@
 {
   double slowness = aTarget.mSlowness;
   if (aTarget.mRunning.empty()) {
-    if (slowness > kOutlier) {
+    if (slowness > kOutlierSlowness) {
       const double fade =
-        Fade(aNow - aTarget.mSampledAt, aSet.mRules.mLatencyHalfLife);
-      slowness = kOutlier + (slowness - kOutlier) * fade;
+        Decay(aNow - aTarget.mSampledAt, aSet.mRules.mLatencyHalfLife);
+      slowness = kOutlierSlowness + (slowness - kOutlierSlowness) * fade;
     }
     return slowness;
   }
@@ -80,7 +80,8 @@
 {
   const double after =
     EjectedShare(aSet, aNow) + 1.0 / static_cast<double>(aSet.mTargets.size());
-  if (after > aSet.mRules.mMaxEjected + kRounding && !OnProbation(aTarget)) {
+  if (after > aSet.mRules.mMaxEjected + kRoundingTolerance &&
+      !OnProbation(aTarget)) {
     return;
   }
   const Micros length = aSet.mRules.mEjection
@@ -149,7 +150,7 @@
                       Micros aNow) noexcept
 {
   const double fade =
-    Fade(aNow - aTarget.mReportedAt, aSet.mRules.mReportHalfLife);
+    Decay(aNow - aTarget.mReportedAt, aSet.mRules.mReportHalfLife);
   const double usual = aTarget.mOthersAverage;
   return usual + (aTarget.mOthersInFlight - usual) * fade;
 }
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 // Smallest share of an attempt's latency that is assumed to remain.
-constexpr double kLeastRemaining = 0.25;
+constexpr double kMinRemainingShare = 0.25;
 // Relative difference below which scores are ties.
-constexpr double kTie = 1e-9;
+constexpr double kTieTolerance = 1e-9;
 // Smallest share of its slots that a target gets during its slow start.
 constexpr double kSlowStartFloor = 0.1;
 
 // Share of its slots that a target gets during its slow start.
-double Warmth(const TargetSet& aSet,
-              const Target& aTarget,
-              Micros aNow) noexcept
+double SlowStartShare(const TargetSet& aSet,
+                      const Target& aTarget,
+                      Micros aNow) noexcept
 {
   const Micros age = aNow - aTarget.mStartedAt;
   if (aSet.mRules.mSlowStart <= 0 || age >= aSet.mRules.mSlowStart) {
@@ -41,7 +41,8 @@
     const Running& oldest = aTarget.mRunning.front();
     const double usual = aTarget.mSlowness * TypicalLatency(aSet, oldest.mKind);
     const auto age = static_cast<double>(aNow - oldest.mStartedAt);
-    remaining = std::max(usual - age, kLeastRemaining * std::max(usual, age));
+    remaining =
+      std::max(usual - age, kMinRemainingShare * std::max(usual, age));
   }
   return std::min(remaining, aLatency / (aOthers + 1.0));
 }
@@ -86,7 +87,7 @@
              Micros aNow) noexcept
 {
   const Rules& rules = aSet.mRules;
-  const double slots = aTarget.mSlots * Warmth(aSet, aTarget, aNow);
+  const double slots = aTarget.mSlots * SlowStartShare(aSet, aTarget, aNow);
   const double work = static_cast<double>(aTarget.mRunning.size()) +
                       OthersInFlight(aSet, aTarget, aNow) + 1.0;
   const double latency = ExpectedLatency(aSet, aTarget, aSpec.mKind, aNow);
@@ -136,13 +137,13 @@
       continue;
     }
     const double score = Score(aSet, target, aSpec, aNow);
-    if (score < bestScore * (1.0 - kTie)) {
+    if (score < bestScore * (1.0 - kTieTolerance)) {
       best = i;
       bestScore = score;
       ties = 1;
       continue;
     }
-    if (score <= bestScore * (1.0 + kTie)) {
+    if (score <= bestScore * (1.0 + kTieTolerance)) {
       // Reservoir sampling among ties; one seed serves the whole scan.
       ++ties;
       aRandom = aRandom * 6364136223846793005ULL + 1442695040888963407ULL;
