--- a/include/geraniumpond/retries.h
+++ b/include/geraniumpond/retries.h
@@ -11,8 +11,8 @@
   /// Tokens added by each first attempt.
   double mRatio = 0.05;
   /// Capacity of the bucket.
-  double mMaxSaved = 10;
-  double mSaved = 5;
+  double mMaxTokens = 10;
+  double mTokens = 5;
   /// Tokens that hedges leave for retries.
   double mHedgeReserve = 3;
 };
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -25,7 +25,7 @@
     SituationOf(service, aRequest, retries::Effect::Unknown);
   return aRequest.mAttempts.size() > 1 ||
          (situation.mAttempts < retries::kMaxAttempts &&
-          service.mRetries.mSaved >= 1 && !situation.mOverloaded);
+          service.mRetries.mTokens >= 1 && !situation.mOverloaded);
 }
 
 void Drop(Context& aContext, std::uint64_t aRequest, std::uint64_t aAttempt)
--- a/src/retries/retries.cpp
+++ b/src/retries/retries.cpp
@@ -6,7 +6,8 @@
 
 void Deposit(RetryBudget& aBudget) noexcept
 {
-  aBudget.mSaved = std::min(aBudget.mMaxSaved, aBudget.mSaved + aBudget.mRatio);
+  aBudget.mTokens =
+    std::min(aBudget.mMaxTokens, aBudget.mTokens + aBudget.mRatio);
 }
 
 bool MayRetry(RetryBudget& aBudget,
@@ -25,10 +26,10 @@
   if (aSituation.mOverloaded && aSituation.mEffect != Effect::DidNotRun) {
     return false;
   }
-  if (aBudget.mSaved < 1) {
+  if (aBudget.mTokens < 1) {
     return false;
   }
-  aBudget.mSaved -= 1;
+  aBudget.mTokens -= 1;
   return true;
 }
 
@@ -38,10 +39,10 @@
 {
   if (!aSituation.mIdempotent || aSituation.mOverloaded ||
       aSituation.mAttempts > 1 || aNow >= aSituation.mDeadline ||
-      aBudget.mSaved < 1 + aBudget.mHedgeReserve) {
+      aBudget.mTokens < 1 + aBudget.mHedgeReserve) {
     return false;
   }
-  aBudget.mSaved -= 1;
+  aBudget.mTokens -= 1;
   return true;
 }
 
