--- a/include/geraniumpond/retries.h
+++ b/include/geraniumpond/retries.h
@@ -26,7 +26,7 @@
 };
 
 /// \brief State of a request that decides whether it is sent again.
-struct Situation
+struct RetryState
 {
   bool mIdempotent = false;
   Effect mEffect = Effect::Unknown;
@@ -43,13 +43,13 @@
 
 /// \brief Spends a token and returns true when the request may be retried.
 [[nodiscard]] bool MayRetry(RetryBudget& aBudget,
-                            const Situation& aSituation,
+                            const RetryState& aState,
                             Micros aNow) noexcept;
 
 /// \brief Spends a token and returns true when the request may be hedged by a
 /// second concurrent attempt.
 [[nodiscard]] bool MayHedge(RetryBudget& aBudget,
-                            const Situation& aSituation,
+                            const RetryState& aState,
                             Micros aNow) noexcept;
 
 } // namespace geraniumpond::retries
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -59,7 +59,7 @@
 bool Retry(Context& aContext, Request& aRequest, retries::Effect aEffect)
 {
   ServiceState& service = aContext.mState.mServices[aRequest.mService];
-  const retries::Situation situation = SituationOf(service, aRequest, aEffect);
+  const retries::RetryState situation = SituationOf(service, aRequest, aEffect);
   if (aRequest.mDetached ||
       !retries::MayRetry(service.mRetries, situation, aContext.mNow)) {
     return false;
@@ -150,7 +150,7 @@
   ServiceState& service = aContext.mState.mServices[aRequest.mService];
   const bool can =
     !aRequest.mEtag.empty() && aRequest.mRangeAllowed && !aRequest.mDetached;
-  retries::Situation situation =
+  retries::RetryState situation =
     SituationOf(service, aRequest, retries::Effect::Unknown);
   situation.mIdempotent = true;
   situation.mOverloaded = false;
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -21,7 +21,7 @@
     return false;
   }
   ServiceState& service = aContext.mState.mServices[aRequest.mService];
-  const retries::Situation situation =
+  const retries::RetryState situation =
     SituationOf(service, aRequest, retries::Effect::Unknown);
   return aRequest.mAttempts.size() > 1 ||
          (situation.mAttempts < retries::kMaxAttempts &&
@@ -47,11 +47,11 @@
   return nullptr;
 }
 
-retries::Situation SituationOf(const ServiceState& aService,
-                               const Request& aRequest,
-                               retries::Effect aEffect)
+retries::RetryState SituationOf(const ServiceState& aService,
+                                const Request& aRequest,
+                                retries::Effect aEffect)
 {
-  retries::Situation situation;
+  retries::RetryState situation;
   situation.mIdempotent = aRequest.mIdempotent;
   situation.mEffect = aEffect;
   situation.mAttempts = aRequest.mAttemptCount;
@@ -174,7 +174,7 @@
     return;
   }
   ServiceState& service = aContext.mState.mServices[aRequest.mService];
-  const retries::Situation situation =
+  const retries::RetryState situation =
     SituationOf(service, aRequest, retries::Effect::Unknown);
   const std::optional<std::size_t> target = PickUntried(aContext, aRequest);
   if (!target ||
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -85,9 +85,9 @@
 void TryHedge(Context& aContext, Request& aRequest);
 
 [[nodiscard]] Attempt* FindAttempt(Request& aRequest, std::uint64_t aNumber);
-[[nodiscard]] retries::Situation SituationOf(const ServiceState& aService,
-                                             const Request& aRequest,
-                                             retries::Effect aEffect);
+[[nodiscard]] retries::RetryState SituationOf(const ServiceState& aService,
+                                              const Request& aRequest,
+                                              retries::Effect aEffect);
 [[nodiscard]] std::optional<std::size_t> PickUntried(Context& aContext,
                                                      const Request& aRequest);
 
--- a/src/retries/retries.cpp
+++ b/src/retries/retries.cpp
@@ -11,19 +11,18 @@
 }
 
 bool MayRetry(RetryBudget& aBudget,
-              const Situation& aSituation,
+              const RetryState& aState,
               Micros aNow) noexcept
 {
-  const bool harmless =
-    aSituation.mEffect == Effect::DidNotRun ||
-    (aSituation.mIdempotent && aSituation.mEffect != Effect::Ran);
-  if (!harmless || aNow >= aSituation.mDeadline ||
-      aSituation.mAttempts >= kMaxAttempts) {
+  const bool harmless = aState.mEffect == Effect::DidNotRun ||
+                        (aState.mIdempotent && aState.mEffect != Effect::Ran);
+  if (!harmless || aNow >= aState.mDeadline ||
+      aState.mAttempts >= kMaxAttempts) {
     return false;
   }
   // Under overload an extra attempt displaces a first attempt, unless the
   // previous attempt did not run and thus used no capacity.
-  if (aSituation.mOverloaded && aSituation.mEffect != Effect::DidNotRun) {
+  if (aState.mOverloaded && aState.mEffect != Effect::DidNotRun) {
     return false;
   }
   if (aBudget.mTokens < 1) {
@@ -34,12 +33,11 @@
 }
 
 bool MayHedge(RetryBudget& aBudget,
-              const Situation& aSituation,
+              const RetryState& aState,
               Micros aNow) noexcept
 {
-  if (!aSituation.mIdempotent || aSituation.mOverloaded ||
-      aSituation.mAttempts > 1 || aNow >= aSituation.mDeadline ||
-      aBudget.mTokens < 1 + aBudget.mHedgeReserve) {
+  if (!aState.mIdempotent || aState.mOverloaded || aState.mAttempts > 1 ||
+      aNow >= aState.mDeadline || aBudget.mTokens < 1 + aBudget.mHedgeReserve) {
     return false;
   }
   aBudget.mTokens -= 1;
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -43,11 +43,11 @@
       { true, Effect::Unknown, 1, false, 5, false, false },
     };
     for (const Case& entry : cases) {
-      const retries::Situation situation{ entry.mIdempotent,
-                                          entry.mEffect,
-                                          entry.mAttempts,
-                                          entry.mOverloaded,
-                                          entry.mDeadline };
+      const retries::RetryState situation{ entry.mIdempotent,
+                                           entry.mEffect,
+                                           entry.mAttempts,
+                                           entry.mOverloaded,
+                                           entry.mDeadline };
       retries::RetryBudget budget;
       CPPUNIT_ASSERT_EQUAL(entry.mRetry,
                            retries::MayRetry(budget, situation, 5));
@@ -60,7 +60,7 @@
   void BudgetBoundsExtraAttempts()
   {
     retries::RetryBudget budget;
-    const retries::Situation situation{
+    const retries::RetryState situation{
       true, retries::Effect::Unknown, 1, false, 10
     };
     int extra = 0;
