--- a/include/geraniumpond/limits.h
+++ b/include/geraniumpond/limits.h
@@ -54,7 +54,8 @@
 [[nodiscard]] Micros GiveUpTime(Micros aNow, Micros aDeadline) noexcept;
 
 /// \brief Number of queued requests served before a new one of this priority.
-[[nodiscard]] int Ahead(const WaitQueue& aQueue, Priority aPriority) noexcept;
+[[nodiscard]] int QueuedAhead(const WaitQueue& aQueue,
+                              Priority aPriority) noexcept;
 
 /// \brief True when a new request may be queued, false when it must be
 /// refused at once.
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -24,7 +24,7 @@
 // Weighted fair sharing: the caller with the least running work per share goes
 // first. Callers may thereby exceed their share while others are idle, and
 // return to it as their attempts end.
-CallerLoad* Neediest(WaitQueue& aQueue, int aPriority)
+CallerLoad* LeastServed(WaitQueue& aQueue, int aPriority)
 {
   CallerLoad* best = nullptr;
   double bestUse = 0;
@@ -75,7 +75,7 @@
   return aNow + std::max<Micros>(aDeadline - aNow, 0) / kWaitDivisor;
 }
 
-int Ahead(const WaitQueue& aQueue, Priority aPriority) noexcept
+int QueuedAhead(const WaitQueue& aQueue, Priority aPriority) noexcept
 {
   int ahead = 0;
   for (int priority = 0; priority <= static_cast<int>(aPriority); ++priority) {
@@ -123,7 +123,7 @@
     if (priority == kBulk && !BulkAllowed(aQueue, aCapacity)) {
       continue;
     }
-    CallerLoad* load = Neediest(aQueue, priority);
+    CallerLoad* load = LeastServed(aQueue, priority);
     if (load == nullptr) {
       continue;
     }
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -81,7 +81,7 @@
   for (const int count : aService.mQueue.mRunning) {
     running += count;
   }
-  const double ahead = limits::Ahead(aService.mQueue, aRequest.mPriority);
+  const double ahead = limits::QueuedAhead(aService.mQueue, aRequest.mPriority);
   const double latency =
     routing::TypicalLatency(aService.mTargets, aRequest.mKindIndex);
   return static_cast<Micros>(latency * ahead / std::max(running, 1));
