--- a/include/geraniumpond/limits.h
+++ b/include/geraniumpond/limits.h
@@ -74,9 +74,9 @@
 [[nodiscard]] std::optional<Waiter> Next(WaitQueue& aQueue, int aCapacity);
 
 /// \brief Adjusts the number of a caller's running attempts by `aChange`.
-void Running(WaitQueue& aQueue,
-             const std::string& aCaller,
-             Priority aPriority,
-             int aChange);
+void AdjustRunning(WaitQueue& aQueue,
+                   const std::string& aCaller,
+                   Priority aPriority,
+                   int aChange);
 
 } // namespace geraniumpond::limits
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -135,10 +135,10 @@
   return std::nullopt;
 }
 
-void Running(WaitQueue& aQueue,
-             const std::string& aCaller,
-             Priority aPriority,
-             int aChange)
+void AdjustRunning(WaitQueue& aQueue,
+                   const std::string& aCaller,
+                   Priority aPriority,
+                   int aChange)
 {
   aQueue.mRunning[static_cast<int>(aPriority)] += aChange;
   CallerLoad& load = aQueue.mCallers[aCaller];
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -205,7 +205,7 @@
                   VerdictOf(aEvent),
                   aContext.mNow);
   TakeLoad(aContext, holding.mService, holding.mTarget, aEvent.load());
-  limits::Running(service.mQueue, holding.mCaller, holding.mPriority, -1);
+  limits::AdjustRunning(service.mQueue, holding.mCaller, holding.mPriority, -1);
 }
 
 void EndAttempt(Context& aContext,
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -94,7 +94,8 @@
   };
   routing::Begin(
     service.mTargets, aTarget, number, AskOf(aRequest), aContext.mNow);
-  limits::Running(service.mQueue, aRequest.mCaller, aRequest.mPriority, 1);
+  limits::AdjustRunning(
+    service.mQueue, aRequest.mCaller, aRequest.mPriority, 1);
   wire::Dispatch& dispatch = *aContext.Add().mutable_dispatch();
   dispatch.set_request(aRequest.mId);
   dispatch.set_attempt(number);
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -116,7 +116,7 @@
     limits::Add(queue, Waiter(2, "a", Priority::Urgent, 90), 1);
     limits::Add(queue, Waiter(3, "a", Priority::Urgent, 80), 1);
     limits::Add(queue, Waiter(4, "b", Priority::Urgent, 99), 1);
-    limits::Running(queue, "a", Priority::Urgent, 1);
+    limits::AdjustRunning(queue, "a", Priority::Urgent, 1);
     for (const std::uint64_t expected : { 4, 3, 2, 1 }) {
       CPPUNIT_ASSERT_EQUAL(expected, limits::Next(queue, 8)->mRequest);
     }
@@ -132,7 +132,7 @@
     }
     int running = 0;
     while (limits::Next(queue, 16)) {
-      limits::Running(queue, "a", Priority::Bulk, 1);
+      limits::AdjustRunning(queue, "a", Priority::Bulk, 1);
       ++running;
     }
     CPPUNIT_ASSERT_EQUAL(4, running);
@@ -152,7 +152,7 @@
     int quiet = 0;
     for (int i = 0; i < 20; ++i) {
       const auto next = limits::Next(queue, 100);
-      limits::Running(queue, next->mCaller, Priority::Normal, 1);
+      limits::AdjustRunning(queue, next->mCaller, Priority::Normal, 1);
       quiet += next->mCaller == "quiet" ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(10, quiet);
