--- a/include/geraniumpond/burn.h
+++ b/include/geraniumpond/burn.h
@@ -54,17 +54,19 @@
 using SeriesKey = std::tuple<std::string, std::string, std::string>;
 
 /// \brief All series of one host.
-using Book = std::map<SeriesKey, Series>;
+using SeriesMap = std::map<SeriesKey, Series>;
 
 /// \brief Records an answer.
-void Note(Series& aSeries,
-          Micros aNow,
-          Micros aLatency,
-          const std::string& aOutcome,
-          bool aGood);
+void AddAnswer(Series& aSeries,
+               Micros aNow,
+               Micros aLatency,
+               const std::string& aOutcome,
+               bool aGood);
 
 /// \brief Sums the buckets of the last `aWindow`.
-[[nodiscard]] Bucket Over(const Series& aSeries, Micros aNow, Micros aWindow);
+[[nodiscard]] Bucket SumBuckets(const Series& aSeries,
+                                Micros aNow,
+                                Micros aWindow);
 
 /// \brief Burn rate of the error budget; 1 spends exactly the whole budget over
 /// the objective's period. 0 without answers.
--- a/include/geraniumpond/node.h
+++ b/include/geraniumpond/node.h
@@ -183,7 +183,7 @@
   Micros mStopAt = 0;
   bool mExited = false;
 
-  burn::Book mBook;
+  burn::SeriesMap mBook;
   Counters mCounters;
 };
 
--- a/src/metrics/burn.cpp
+++ b/src/metrics/burn.cpp
@@ -37,11 +37,11 @@
   return kHighestMs;
 }
 
-void Note(Series& aSeries,
-          Micros aNow,
-          Micros aLatency,
-          const std::string& aOutcome,
-          bool aGood)
+void AddAnswer(Series& aSeries,
+               Micros aNow,
+               Micros aLatency,
+               const std::string& aOutcome,
+               bool aGood)
 {
   aSeries.mLatency(static_cast<double>(aLatency) / kMillisecond);
   ++aSeries.mOutcomes[aOutcome];
@@ -53,7 +53,7 @@
   }
 }
 
-Bucket Over(const Series& aSeries, Micros aNow, Micros aWindow)
+Bucket SumBuckets(const Series& aSeries, Micros aNow, Micros aWindow)
 {
   Bucket sum;
   const auto first =
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -120,7 +120,7 @@
   const bool good =
     aRequest.mStatus < kFirstServerError &&
     (series.mObjectiveTime == 0 || latency <= series.mObjectiveTime);
-  burn::Note(series, aContext.mNow, latency, kRan, good);
+  burn::AddAnswer(series, aContext.mNow, latency, kRan, good);
 }
 
 // The whole answer of a keyed request is here: the caller gets it now, its
@@ -248,11 +248,11 @@
   burn::Series& series =
     aContext.mState
       .mBook[{ aRequest.mService, aRequest.mKind, aRequest.mCaller }];
-  burn::Note(series,
-             aContext.mNow,
-             aContext.mNow - aRequest.mArrivedAt,
-             "broken",
-             false);
+  burn::AddAnswer(series,
+                  aContext.mNow,
+                  aContext.mNow - aRequest.mArrivedAt,
+                  "broken",
+                  false);
   Forget(aContext, aRequest.mId);
 }
 
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -105,11 +105,11 @@
   burn::Series& series =
     aContext.mState
       .mBook[{ aRequest.mService, aRequest.mKind, aRequest.mCaller }];
-  burn::Note(series,
-             aContext.mNow,
-             aContext.mNow - aRequest.mArrivedAt,
-             aReply.mOutcome,
-             false);
+  burn::AddAnswer(series,
+                  aContext.mNow,
+                  aContext.mNow - aRequest.mArrivedAt,
+                  aReply.mOutcome,
+                  false);
 }
 
 void AnswerAndForget(Context& aContext,
--- a/src/node/views.cpp
+++ b/src/node/views.cpp
@@ -119,7 +119,7 @@
   object.set("bins_ms", Bins(aSeries.mLatency));
   Array windows;
   for (const burn::Window& window : burn::Windows()) {
-    const burn::Bucket counts = burn::Over(aSeries, aNow, window.mLength);
+    const burn::Bucket counts = burn::SumBuckets(aSeries, aNow, window.mLength);
     Object entry;
     entry.set("window", window.mName);
     entry.set("good", Number(counts.mGood));
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -317,12 +317,14 @@
   void WindowLeavesOutOlderBuckets()
   {
     burn::Series series;
-    burn::Note(series, 10 * kMinute, 1, "ran", false);
-    burn::Note(series, 60 * kMinute, 1, "ran", true);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(1),
-                         burn::Over(series, 60 * kMinute, 5 * kMinute).mTotal);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(2),
-                         burn::Over(series, 60 * kMinute, 60 * kMinute).mTotal);
+    burn::AddAnswer(series, 10 * kMinute, 1, "ran", false);
+    burn::AddAnswer(series, 60 * kMinute, 1, "ran", true);
+    CPPUNIT_ASSERT_EQUAL(
+      std::uint64_t(1),
+      burn::SumBuckets(series, 60 * kMinute, 5 * kMinute).mTotal);
+    CPPUNIT_ASSERT_EQUAL(
+      std::uint64_t(2),
+      burn::SumBuckets(series, 60 * kMinute, 60 * kMinute).mTotal);
   }
 
   void QuantileBoundsTheSamples()
