--- a/include/geraniumpond/control.h
+++ b/include/geraniumpond/control.h
@@ -12,9 +12,9 @@
 namespace geraniumpond::control {
 
 /// \brief Number of deployments kept for `show config --version`.
-constexpr std::size_t kHistory = 50;
+constexpr std::size_t kMaxHistory = 50;
 /// \brief Number of change ids whose outcome is kept, to answer repeats.
-constexpr std::size_t kChanges = 20000;
+constexpr std::size_t kMaxChanges = 20000;
 
 /// \brief The replicated state machine.
 struct State
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -47,7 +47,7 @@
 {
   aState.mChanges[aOutcome.change_id()] = aOutcome;
   aState.mChangeOrder.push_back(aOutcome.change_id());
-  if (aState.mChangeOrder.size() > kChanges) {
+  if (aState.mChangeOrder.size() > kMaxChanges) {
     aState.mChanges.erase(aState.mChangeOrder.front());
     aState.mChangeOrder.pop_front();
   }
@@ -72,7 +72,7 @@
   version.set_operator_name(aApply.operator_name());
   version.set_decided_at_us(aState.mTime);
   aState.mHistory.push_back(std::move(version));
-  if (aState.mHistory.size() > kHistory) {
+  if (aState.mHistory.size() > kMaxHistory) {
     aState.mHistory.pop_front();
   }
   return outcome;
