--- a/include/geraniumpond/membership.h
+++ b/include/geraniumpond/membership.h
@@ -21,7 +21,7 @@
 using FactKey = std::tuple<wire::FactKind, std::string, std::string>;
 
 /// \brief A fact and the time of its last change on this host.
-struct Known
+struct DirectoryEntry
 {
   wire::Fact mFact;
   Micros mChangedAt = 0;
@@ -30,7 +30,7 @@
 /// \brief All facts known to a host, with a digest per service.
 struct Directory
 {
-  std::map<FactKey, Known> mFacts;
+  std::map<FactKey, DirectoryEntry> mFacts;
   /// XOR of the hashes of each service's facts; hosts are under "".
   std::map<std::string, std::uint64_t> mDigests;
   std::uint64_t mRoot = 0;
