--- a/include/geraniumpond/membership.h
+++ b/include/geraniumpond/membership.h
@@ -76,15 +76,15 @@
 
 /// \brief Recipients of a change: hosts of the same data centre, and one relay
 /// in each other data centre.
-struct Spread
+struct ChangeRecipients
 {
   std::vector<const wire::Fact*> mLocal;
   std::vector<const wire::Fact*> mRelays;
 };
 
-[[nodiscard]] Spread SpreadFrom(const Directory& aDirectory,
-                                const std::string& aSelf,
-                                const std::string& aDataCentre,
-                                std::uint64_t aSalt);
+[[nodiscard]] ChangeRecipients SelectRecipients(const Directory& aDirectory,
+                                                const std::string& aSelf,
+                                                const std::string& aDataCentre,
+                                                std::uint64_t aSalt);
 
 } // namespace geraniumpond::membership
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -203,12 +203,12 @@
   return result;
 }
 
-Spread SpreadFrom(const Directory& aDirectory,
-                  const std::string& aSelf,
-                  const std::string& aDataCentre,
-                  std::uint64_t aSalt)
+ChangeRecipients SelectRecipients(const Directory& aDirectory,
+                                  const std::string& aSelf,
+                                  const std::string& aDataCentre,
+                                  std::uint64_t aSalt)
 {
-  Spread spread;
+  ChangeRecipients spread;
   std::map<std::string, std::vector<const wire::Fact*>> others;
   for (const wire::Fact* host : Hosts(aDirectory)) {
     if (host->id() == aSelf) {
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -242,11 +242,11 @@
                    bool aAcross,
                    const std::function<void(const std::string&, bool)>& aSend)
 {
-  const membership::Spread spread =
-    membership::SpreadFrom(aContext.mState.mDirectory,
-                           aContext.Self(),
-                           aContext.mState.mSettings.data_centre(),
-                           aContext.NextRandom());
+  const membership::ChangeRecipients spread =
+    membership::SelectRecipients(aContext.mState.mDirectory,
+                                 aContext.Self(),
+                                 aContext.mState.mSettings.data_centre(),
+                                 aContext.NextRandom());
   for (const wire::Fact* host : spread.mLocal) {
     aSend(host->id(), false);
   }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -172,7 +172,7 @@
             HostFact("h" + std::to_string(i), "dc" + std::to_string(i % 4)),
             0);
     }
-    const Spread spread = SpreadFrom(directory, "h0", "dc0", 5);
+    const ChangeRecipients spread = SelectRecipients(directory, "h0", "dc0", 5);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), spread.mLocal.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), spread.mRelays.size());
   }
