--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,5 +1,6 @@
-// Policies by scenario against a central queue with perfect knowledge, on
-// virtual time with recorded seeds. Prints one table; see docs/MEASUREMENTS.md.
+// Compares routing policies by scenario with a central queue that has perfect
+// knowledge, in virtual time and with fixed seeds. Prints a table; see
+// docs/MEASUREMENTS.md.
 //
 //   routing_bench [--only PART-OF-A-NAME] [--seed N] [--all yes]
 #include "fakes/options.h"
@@ -126,8 +127,8 @@
   std::string mNote;
 };
 
-// How the faulty target was treated: calls harmed until it was avoided, its
-// share in between, and when its full share was back.
+// Reaction to a faulty target: calls harmed in the first second, its share of
+// the load for the rest of the fault, and the time until the share recovers.
 std::string FaultNote(const Emulation& aRun)
 {
   const Scenario& scenario = aRun.mScenario;
@@ -229,7 +230,7 @@
         std::async(std::launch::deferred, RunOne, scenario, policy));
     }
   }
-  // A few at a time: the emulation is large, and the machine is shared.
+  // Bounds the concurrent emulations, each of which is large.
   constexpr std::size_t kParallel = 8;
   std::vector<std::future<std::vector<Row>>> batches;
   for (std::size_t i = 0; i < scenarios.size(); ++i) {
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -44,10 +44,10 @@
   if (aNew.incarnation() != aOld.incarnation()) {
     return aNew.incarnation() > aOld.incarnation() ? aNew : aOld;
   }
-  wire::Fact joined = LeaseIsNewer(aNew, aOld) ? aNew : aOld;
-  joined.set_drain_sequence(
+  wire::Fact merged = LeaseIsNewer(aNew, aOld) ? aNew : aOld;
+  merged.set_drain_sequence(
     std::max(aNew.drain_sequence(), aOld.drain_sequence()));
-  return joined;
+  return merged;
 }
 
 bool Same(const wire::Fact& aLeft, const wire::Fact& aRight)
@@ -95,13 +95,13 @@
     ToggleDigest(aDirectory, aFact);
     return true;
   }
-  wire::Fact joined = Join(found->second.mFact, aFact);
-  if (Same(joined, found->second.mFact)) {
+  wire::Fact merged = Join(found->second.mFact, aFact);
+  if (Same(merged, found->second.mFact)) {
     return false;
   }
   ToggleDigest(aDirectory, found->second.mFact);
-  ToggleDigest(aDirectory, joined);
-  found->second = { std::move(joined), aNow };
+  ToggleDigest(aDirectory, merged);
+  found->second = { std::move(merged), aNow };
   return true;
 }
 
@@ -208,22 +208,22 @@
                                   const std::string& aDataCentre,
                                   std::uint64_t aSalt)
 {
-  ChangeRecipients spread;
+  ChangeRecipients recipients;
   std::map<std::string, std::vector<const wire::Fact*>> others;
   for (const wire::Fact* host : Hosts(aDirectory)) {
     if (host->id() == aSelf) {
       continue;
     }
     if (host->data_centre() == aDataCentre) {
-      spread.mLocal.push_back(host);
+      recipients.mLocal.push_back(host);
     } else {
       others[host->data_centre()].push_back(host);
     }
   }
   for (const auto& [name, hosts] : others) {
-    spread.mRelays.push_back(hosts[aSalt % hosts.size()]);
+    recipients.mRelays.push_back(hosts[aSalt % hosts.size()]);
   }
-  return spread;
+  return recipients;
 }
 
 } // namespace geraniumpond::membership
--- a/src/retries/retries.cpp
+++ b/src/retries/retries.cpp
@@ -14,10 +14,9 @@
               const RetryState& aState,
               Micros aNow) noexcept
 {
-  const bool harmless = aState.mEffect == Effect::DidNotRun ||
-                        (aState.mIdempotent && aState.mEffect != Effect::Ran);
-  if (!harmless || aNow >= aState.mDeadline ||
-      aState.mAttempts >= kMaxAttempts) {
+  const bool safe = aState.mEffect == Effect::DidNotRun ||
+                    (aState.mIdempotent && aState.mEffect != Effect::Ran);
+  if (!safe || aNow >= aState.mDeadline || aState.mAttempts >= kMaxAttempts) {
     return false;
   }
   // Under overload an extra attempt displaces a first attempt, unless the
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -43,30 +43,28 @@
       { true, Effect::Unknown, 1, false, 5, false, false },
     };
     for (const Case& entry : cases) {
-      const retries::RetryState situation{ entry.mIdempotent,
-                                           entry.mEffect,
-                                           entry.mAttempts,
-                                           entry.mOverloaded,
-                                           entry.mDeadline };
+      const retries::RetryState state{ entry.mIdempotent,
+                                       entry.mEffect,
+                                       entry.mAttempts,
+                                       entry.mOverloaded,
+                                       entry.mDeadline };
       retries::RetryBudget budget;
-      CPPUNIT_ASSERT_EQUAL(entry.mRetry,
-                           retries::MayRetry(budget, situation, 5));
+      CPPUNIT_ASSERT_EQUAL(entry.mRetry, retries::MayRetry(budget, state, 5));
       retries::RetryBudget other;
-      CPPUNIT_ASSERT_EQUAL(entry.mHedge,
-                           retries::MayHedge(other, situation, 5));
+      CPPUNIT_ASSERT_EQUAL(entry.mHedge, retries::MayHedge(other, state, 5));
     }
   }
 
   void BudgetBoundsExtraAttempts()
   {
     retries::RetryBudget budget;
-    const retries::RetryState situation{
+    const retries::RetryState state{
       true, retries::Effect::Unknown, 1, false, 10
     };
     int extra = 0;
     for (int i = 0; i < 10000; ++i) {
       retries::Deposit(budget);
-      extra += retries::MayRetry(budget, situation, 0) ? 1 : 0;
+      extra += retries::MayRetry(budget, state, 0) ? 1 : 0;
     }
     CPPUNIT_ASSERT(extra <= 505);
     CPPUNIT_ASSERT(extra >= 495);
@@ -170,7 +168,7 @@
     limits::Add(queue, Waiter(2, "a", Priority::Normal, 5), 1);
     limits::Add(queue, Waiter(3, "a", Priority::Normal, 5), 1);
     CPPUNIT_ASSERT(!limits::MayWait(queue, waiter, 0, 0));
-    // Another caller still has its share of the places.
+    // Another caller is still below its share of the queue.
     waiter.mCaller = "b";
     CPPUNIT_ASSERT(limits::MayWait(queue, waiter, 0, 0));
   }
@@ -220,7 +218,7 @@
 
   void LateCopyOfAReleasedClaimStaysVoid()
   {
-    Release(1); // before its claim
+    Release(1); // arrives before its claim
     CPPUNIT_ASSERT_EQUAL(wire::KEY_RELEASED, Claim(1).phase());
     CPPUNIT_ASSERT(Owns(Claim(2), 2));
     Release(2);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -37,7 +37,7 @@
   return fact;
 }
 
-// The naive join: looks at all facts ever seen, in no order.
+// Reference implementation, which examines all facts regardless of order.
 wire::Fact NaiveJoin(const std::vector<wire::Fact>& aFacts)
 {
   std::uint64_t incarnation = 0;
@@ -87,7 +87,7 @@
                                    random() % 4,
                                    random() % 2 == 0 ? "a" : "b"));
       }
-      // One writer never writes two facts under one sequence.
+      // A writer never uses the same sequence for two facts.
       std::sort(facts.begin(), facts.end(), Before);
       facts.erase(std::unique(facts.begin(), facts.end(), SameLease),
                   facts.end());
@@ -172,9 +172,10 @@
             HostFact("h" + std::to_string(i), "dc" + std::to_string(i % 4)),
             0);
     }
-    const ChangeRecipients spread = SelectRecipients(directory, "h0", "dc0", 5);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), spread.mLocal.size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(3), spread.mRelays.size());
+    const ChangeRecipients recipients =
+      SelectRecipients(directory, "h0", "dc0", 5);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), recipients.mLocal.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(3), recipients.mRelays.size());
   }
 
   void SuccessorsWrapAroundTheRing()
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -27,7 +27,7 @@
   return set;
 }
 
-// The naive choice: all targets with room, sorted by score.
+// Reference implementation: the targets with room, sorted by score.
 std::vector<std::string> NaiveBest(const TargetSet& aSet,
                                    Micros aNow,
                                    const AttemptSpec& aSpec,
@@ -78,18 +78,18 @@
       Micros now = kSecond;
       for (std::uint64_t step = 1; step < 200; ++step) {
         now += static_cast<Micros>(random() % (5 * kMillisecond));
-        const AttemptSpec ask{ random() % 2, random() % 5 == 0 };
+        const AttemptSpec spec{ random() % 2, random() % 5 == 0 };
         std::vector<std::string> exclude;
         if (random() % 4 == 0) {
           exclude.push_back("t0");
         }
-        const auto best = NaiveBest(set, now, ask, exclude);
-        const auto picked = Pick(set, now, random(), ask, exclude);
+        const auto best = NaiveBest(set, now, spec, exclude);
+        const auto picked = Pick(set, now, random(), spec, exclude);
         CPPUNIT_ASSERT_EQUAL(best.empty(), !picked.has_value());
         if (picked) {
           const std::string id = set.mTargets[*picked].mId;
           CPPUNIT_ASSERT(std::count(best.begin(), best.end(), id) == 1);
-          Begin(set, *picked, step, ask, now);
+          Begin(set, *picked, step, spec, now);
           running.emplace_back(id, step);
         }
         if (!running.empty() && random() % 2 == 0) {
@@ -156,7 +156,7 @@
     TargetSet set = NewSet(4, 4);
     Warm(set);
     Begin(set, 0, 1000, {}, kSecond);
-    // Ten usual latencies later nothing has come back.
+    // Ten typical latencies have passed without an answer.
     const Micros later = kSecond + 100 * kMillisecond;
     for (std::uint64_t i = 0; i < 50; ++i) {
       CPPUNIT_ASSERT(*Pick(set, later, i, {}, {}) != 0);
@@ -207,9 +207,9 @@
     CPPUNIT_ASSERT(!Pick(set, 501, 1, {}, {}));
     Finish(set, "t0", 1, Verdict::Failed, 502);
     CPPUNIT_ASSERT(!Pick(set, 503, 1, {}, {}));
-    const Micros over = 502 + 2 * set.mRules.mMaxEjection;
-    Begin(set, 0, 2, {}, over);
-    Finish(set, "t0", 2, Verdict::Good, over + 10);
+    const Micros expired = 502 + 2 * set.mRules.mMaxEjection;
+    Begin(set, 0, 2, {}, expired);
+    Finish(set, "t0", 2, Verdict::Good, expired + 10);
     CPPUNIT_ASSERT_EQUAL(Micros(0), target.mEjectedUntil);
     CPPUNIT_ASSERT_EQUAL(0, target.mEjections);
   }
@@ -255,7 +255,7 @@
   }
 
 private:
-  // Each target has answered a few times in ten milliseconds.
+  // Records a few answers of 10 ms for each target.
   static void Warm(TargetSet& aSet)
   {
     std::uint64_t attempt = 1;
