--- a/include/geraniumpond/burn.h
+++ b/include/geraniumpond/burn.h
@@ -70,7 +70,7 @@
 
 /// \brief Burn rate of the error budget; 1 spends exactly the whole budget over
 /// the objective's period. 0 without answers.
-[[nodiscard]] double Rate(const Bucket& aCounts, double aObjectiveShare);
+[[nodiscard]] double BurnRate(const Bucket& aCounts, double aObjectiveShare);
 
 /// \brief A time window of the report.
 struct Window
--- a/src/cli/burn_html.cpp
+++ b/src/cli/burn_html.cpp
@@ -114,7 +114,7 @@
   aOut << "<table><tr><th>window</th><th>good</th><th>all</th><th>burn</th>"
           "<th></th></tr>";
   for (const auto& [name, counts] : aSeries.mWindows) {
-    const double burn = burn::Rate(counts, aSeries.mObjectiveShare);
+    const double burn = burn::BurnRate(counts, aSeries.mObjectiveShare);
     const double width = 220 * std::min(burn, kMostBurn) / kMostBurn;
     const char* kind = burn > 1 ? "bad" : "good";
     aOut << "<tr><td>" << Escape(name) << "</td><td>" << counts.mGood
--- a/src/cli/burn_report.cpp
+++ b/src/cli/burn_report.cpp
@@ -94,7 +94,8 @@
     }
     out << "\n  burn:";
     for (const auto& [name, counts] : series.mWindows) {
-      out << " " << name << "=" << burn::Rate(counts, series.mObjectiveShare);
+      out << " " << name << "="
+          << burn::BurnRate(counts, series.mObjectiveShare);
     }
     out << "\n";
   }
@@ -116,7 +117,7 @@
     object.set("objective_share", series.mObjectiveShare);
     Object windows;
     for (const auto& [name, counts] : series.mWindows) {
-      windows.set(name, burn::Rate(counts, series.mObjectiveShare));
+      windows.set(name, burn::BurnRate(counts, series.mObjectiveShare));
     }
     object.set("burn", windows);
     Object outcomes;
--- a/src/metrics/burn.cpp
+++ b/src/metrics/burn.cpp
@@ -65,7 +65,7 @@
   return sum;
 }
 
-double Rate(const Bucket& aCounts, double aObjectiveShare)
+double BurnRate(const Bucket& aCounts, double aObjectiveShare)
 {
   if (aCounts.mTotal == 0) {
     return 0;
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -307,9 +307,9 @@
 public:
   void RateIsOneWhenTheBudgetIsSpentExactly()
   {
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, burn::Rate({ 99, 100 }, 0.99), 1e-9);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, burn::Rate({ 90, 100 }, 0.99), 1e-9);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, burn::Rate({ 0, 0 }, 0.99), 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, burn::BurnRate({ 99, 100 }, 0.99), 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(10.0, burn::BurnRate({ 90, 100 }, 0.99), 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, burn::BurnRate({ 0, 0 }, 0.99), 1e-9);
   }
 
   void WindowLeavesOutOlderBuckets()
--- a/tests/report_test.cpp
+++ b/tests/report_test.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT_EQUAL(10.0, QuantileMs(series, 0.5));
     CPPUNIT_ASSERT_EQUAL(20.0, QuantileMs(series, 0.99));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(
-      2.0, burn::Rate(series.mWindows.at("5m"), 0.99), 1e-9);
+      2.0, burn::BurnRate(series.mWindows.at("5m"), 0.99), 1e-9);
     for (const std::string& text :
          { BurnText(report), BurnJson(report), BurnHtml(report) }) {
       CPPUNIT_ASSERT(text.find("127.0.0.1:9") != std::string::npos);
