--- a/include/geraniumpond/idempotency.h
+++ b/include/geraniumpond/idempotency.h
@@ -43,7 +43,7 @@
 
 /// \brief Retention of a released record, so that a delayed copy of its claim
 /// does not claim the key again.
-constexpr Micros kReleaseMemory = 10 * kMinute;
+constexpr Micros kReleaseRetention = 10 * kMinute;
 
 /// \brief Releases the claim of a request that provably did not run.
 [[nodiscard]] wire::KeyRecord Release(Table& aTable,
--- a/src/idempotency/idempotency.cpp
+++ b/src/idempotency/idempotency.cpp
@@ -114,7 +114,7 @@
   record.set_owner(aRelease.owner());
   record.set_owner_incarnation(aRelease.owner_incarnation());
   record.set_attempt(aRelease.attempt());
-  record.set_expires_at_us(aNow + kReleaseMemory);
+  record.set_expires_at_us(aNow + kReleaseRetention);
   aTable.mRecords[aRelease.key()] = record;
   aTable.mExpiries.insert({ record.expires_at_us(), aRelease.key() });
   return record;
