--- a/include/geraniumpond/membership.h
+++ b/include/geraniumpond/membership.h
@@ -57,7 +57,7 @@
   const std::string& aService);
 
 /// \brief Removes facts that have been gone for longer than `aAge`.
-void Forget(Directory& aDirectory, Micros aNow, Micros aAge);
+void RemoveGone(Directory& aDirectory, Micros aNow, Micros aAge);
 
 /// \brief The `aCount` entries of a service, highest rank first, by rendezvous
 /// hashing over the entry hosts that are neither gone nor draining.
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -138,7 +138,7 @@
   return facts;
 }
 
-void Forget(Directory& aDirectory, Micros aNow, Micros aAge)
+void RemoveGone(Directory& aDirectory, Micros aNow, Micros aAge)
 {
   for (auto it = aDirectory.mFacts.begin(); it != aDirectory.mFacts.end();) {
     if (it->second.mFact.gone() && aNow - it->second.mChangedAt > aAge) {
--- a/src/node/step.cpp
+++ b/src/node/step.cpp
@@ -50,7 +50,8 @@
   if (aContext.mNow >= aContext.mState.mHeartbeatAt) {
     Heartbeat(aContext);
     ExpireLeases(aContext);
-    membership::Forget(aContext.mState.mDirectory, aContext.mNow, kFactMemory);
+    membership::RemoveGone(
+      aContext.mState.mDirectory, aContext.mNow, kFactMemory);
     CheckReady(aContext);
     // Asked at the pace of heartbeats: an answer must not cause a question.
     if (!aContext.mState.mReady) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -197,9 +197,9 @@
     gone.set_gone(true);
     Merge(directory, gone, 100);
     Merge(directory, HostFact("h", "dc"), 0);
-    Forget(directory, 200, 100);
+    RemoveGone(directory, 200, 100);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), directory.mFacts.size());
-    Forget(directory, 201, 100);
+    RemoveGone(directory, 201, 100);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), directory.mFacts.size());
     CPPUNIT_ASSERT_EQUAL(directory.mDigests[""], directory.mRoot);
   }
