--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -43,7 +43,7 @@
   return text_delta::Apply(latest->text(), aApply.delta()).value();
 }
 
-void Remember(State& aState, const wire::ChangeOutcome& aOutcome)
+void StoreOutcome(State& aState, const wire::ChangeOutcome& aOutcome)
 {
   aState.mChanges[aOutcome.change_id()] = aOutcome;
   aState.mChangeOrder.push_back(aOutcome.change_id());
@@ -61,7 +61,7 @@
     return known->second;
   }
   wire::ChangeOutcome outcome = Decide(aState, aApply);
-  Remember(aState, outcome);
+  StoreOutcome(aState, outcome);
   if (!outcome.accepted()) {
     return outcome;
   }
@@ -150,7 +150,7 @@
     state.mHistory.push_back(version);
   }
   for (const wire::ChangeOutcome& outcome : saved.changes()) {
-    Remember(state, outcome);
+    StoreOutcome(state, outcome);
   }
   for (const wire::KeyRecord& record : saved.records()) {
     state.mKeys.mRecords[record.key()] = record;
--- a/src/membership/directory.cpp
+++ b/src/membership/directory.cpp
@@ -39,7 +39,7 @@
          std::pair(aOld.sequence(), aOld.origin());
 }
 
-wire::Fact Join(const wire::Fact& aOld, const wire::Fact& aNew)
+wire::Fact MergeFacts(const wire::Fact& aOld, const wire::Fact& aNew)
 {
   if (aNew.incarnation() != aOld.incarnation()) {
     return aNew.incarnation() > aOld.incarnation() ? aNew : aOld;
@@ -95,7 +95,7 @@
     ToggleDigest(aDirectory, aFact);
     return true;
   }
-  wire::Fact merged = Join(found->second.mFact, aFact);
+  wire::Fact merged = MergeFacts(found->second.mFact, aFact);
   if (Same(merged, found->second.mFact)) {
     return false;
   }
