--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -28,10 +28,10 @@
 }
 
 // Reference implementation: the targets with room, sorted by score.
-std::vector<std::string> NaiveBest(const TargetSet& aSet,
-                                   Micros aNow,
-                                   const AttemptSpec& aSpec,
-                                   const std::vector<std::string>& aExclude)
+std::vector<std::string> ReferenceBest(const TargetSet& aSet,
+                                       Micros aNow,
+                                       const AttemptSpec& aSpec,
+                                       const std::vector<std::string>& aExclude)
 {
   std::vector<std::pair<double, std::string>> all;
   for (const Target& target : aSet.mTargets) {
@@ -56,20 +56,20 @@
 class RoutingTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RoutingTest);
-  CPPUNIT_TEST(PickEqualsTheNaiveChoiceOverRandomHistories);
-  CPPUNIT_TEST(RoomFollowsTheStateOfTheTarget);
-  CPPUNIT_TEST(TiesAreSharedOutByTheRandomWord);
+  CPPUNIT_TEST(PickMatchesTheReferenceOverRandomHistories);
+  CPPUNIT_TEST(HasRoomDependsOnTheStateOfTheTarget);
+  CPPUNIT_TEST(TiesAreBrokenAtRandom);
   CPPUNIT_TEST(StragglerIsAvoidedBeforeItAnswers);
-  CPPUNIT_TEST(TargetThatFailsFastDrawsNoLoad);
-  CPPUNIT_TEST(EjectionNeverPassesItsShare);
-  CPPUNIT_TEST(ProbationLetsOneAttemptThroughAndEndsWithASuccess);
-  CPPUNIT_TEST(OldReportFadesToTheUsual);
-  CPPUNIT_TEST(ColdTargetGetsLessThanItsShare);
-  CPPUNIT_TEST(HomeAndNearTargetsGoFirstUntilTheyAreBusy);
+  CPPUNIT_TEST(TargetThatFailsFastAttractsNoLoad);
+  CPPUNIT_TEST(EjectedShareIsBounded);
+  CPPUNIT_TEST(ProbationAllowsOneAttemptAndEndsWithASuccess);
+  CPPUNIT_TEST(OldReportDecaysToTheAverage);
+  CPPUNIT_TEST(SlowStartLimitsANewTarget);
+  CPPUNIT_TEST(PreferredLocalTargetsComeFirstUntilTheyAreBusy);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void PickEqualsTheNaiveChoiceOverRandomHistories()
+  void PickMatchesTheReferenceOverRandomHistories()
   {
     std::mt19937_64 random(11);
     for (int round = 0; round < 50; ++round) {
@@ -83,7 +83,7 @@
         if (random() % 4 == 0) {
           exclude.push_back("t0");
         }
-        const auto best = NaiveBest(set, now, spec, exclude);
+        const auto best = ReferenceBest(set, now, spec, exclude);
         const auto picked = Pick(set, now, random(), spec, exclude);
         CPPUNIT_ASSERT_EQUAL(best.empty(), !picked.has_value());
         if (picked) {
@@ -106,7 +106,7 @@
     }
   }
 
-  void RoomFollowsTheStateOfTheTarget()
+  void HasRoomDependsOnTheStateOfTheTarget()
   {
     struct Case
     {
@@ -138,7 +138,7 @@
     }
   }
 
-  void TiesAreSharedOutByTheRandomWord()
+  void TiesAreBrokenAtRandom()
   {
     const TargetSet set = NewSet(4, 2);
     std::mt19937_64 random(3);
@@ -154,7 +154,7 @@
   void StragglerIsAvoidedBeforeItAnswers()
   {
     TargetSet set = NewSet(4, 4);
-    Warm(set);
+    RecordAnswers(set);
     Begin(set, 0, 1000, {}, kSecond);
     // Ten typical latencies have passed without an answer.
     const Micros later = kSecond + 100 * kMillisecond;
@@ -163,10 +163,10 @@
     }
   }
 
-  void TargetThatFailsFastDrawsNoLoad()
+  void TargetThatFailsFastAttractsNoLoad()
   {
     TargetSet set = NewSet(4, 4);
-    Warm(set);
+    RecordAnswers(set);
     int harmed = 0;
     Micros now = kSecond;
     for (std::uint64_t i = 0; i < 500; ++i) {
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT(harmed < 5);
   }
 
-  void EjectionNeverPassesItsShare()
+  void EjectedShareIsBounded()
   {
     TargetSet set = NewSet(10, 4);
     for (std::uint64_t i = 0; i < 200; ++i) {
@@ -195,7 +195,7 @@
     CPPUNIT_ASSERT(EjectedShare(set, kSecond + 1) > 0.2);
   }
 
-  void ProbationLetsOneAttemptThroughAndEndsWithASuccess()
+  void ProbationAllowsOneAttemptAndEndsWithASuccess()
   {
     TargetSet set = NewSet(1, 4);
     Target& target = set.mTargets[0];
@@ -214,7 +214,7 @@
     CPPUNIT_ASSERT_EQUAL(0, target.mEjections);
   }
 
-  void OldReportFadesToTheUsual()
+  void OldReportDecaysToTheAverage()
   {
     TargetSet set = NewSet(2, 4);
     for (int i = 0; i < 500; ++i) {
@@ -228,7 +228,7 @@
     CPPUNIT_ASSERT(old > empty);
   }
 
-  void ColdTargetGetsLessThanItsShare()
+  void SlowStartLimitsANewTarget()
   {
     TargetSet set = NewSet(2, 8);
     set.mRules.mSlowStart = 10 * kSecond;
@@ -242,10 +242,10 @@
     CPPUNIT_ASSERT(cold <= 2);
   }
 
-  void HomeAndNearTargetsGoFirstUntilTheyAreBusy()
+  void PreferredLocalTargetsComeFirstUntilTheyAreBusy()
   {
     TargetSet set = NewSet(3, 2);
-    Warm(set);
+    RecordAnswers(set);
     set.mTargets[1].mPreferred = false;
     set.mTargets[2].mDataCentre = "far";
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), *Pick(set, kSecond, 1, {}, {}));
@@ -256,7 +256,7 @@
 
 private:
   // Records a few answers of 10 ms for each target.
-  static void Warm(TargetSet& aSet)
+  static void RecordAnswers(TargetSet& aSet)
   {
     std::uint64_t attempt = 1;
     for (std::size_t i = 0; i < aSet.mTargets.size(); ++i) {
