--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -38,7 +38,7 @@
 }
 
 // Reference implementation, which examines all facts regardless of order.
-wire::Fact NaiveJoin(const std::vector<wire::Fact>& aFacts)
+wire::Fact ReferenceMerge(const std::vector<wire::Fact>& aFacts)
 {
   std::uint64_t incarnation = 0;
   for (const wire::Fact& fact : aFacts) {
@@ -65,17 +65,17 @@
 class MembershipTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(MembershipTest);
-  CPPUNIT_TEST(MergeInAnyOrderEqualsTheNaiveJoin);
+  CPPUNIT_TEST(MergeInAnyOrderMatchesTheReference);
   CPPUNIT_TEST(DrainIsNotUndoneByAnOlderReport);
-  CPPUNIT_TEST(DigestsAreEqualExactlyWhenFactsAre);
-  CPPUNIT_TEST(EntriesOfAServiceMoveLittleWhenAHostLeaves);
-  CPPUNIT_TEST(SpreadReachesOneRelayInEachOtherDataCentre);
+  CPPUNIT_TEST(DigestsMatchOnlyWhenFactsMatch);
+  CPPUNIT_TEST(FewEntriesOfAServiceChangeWhenAHostLeaves);
+  CPPUNIT_TEST(RecipientsIncludeOneRelayInEachOtherDataCentre);
   CPPUNIT_TEST(SuccessorsWrapAroundTheRing);
-  CPPUNIT_TEST(ForgetDropsOnlyFactsLongGone);
+  CPPUNIT_TEST(RemoveGoneKeepsFactsThatLeftRecently);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void MergeInAnyOrderEqualsTheNaiveJoin()
+  void MergeInAnyOrderMatchesTheReference()
   {
     std::mt19937_64 random(7);
     for (int round = 0; round < 500; ++round) {
@@ -91,7 +91,7 @@
       std::sort(facts.begin(), facts.end(), Before);
       facts.erase(std::unique(facts.begin(), facts.end(), SameLease),
                   facts.end());
-      const wire::Fact expected = NaiveJoin(facts);
+      const wire::Fact expected = ReferenceMerge(facts);
       std::shuffle(facts.begin(), facts.end(), random);
       Directory directory;
       for (const wire::Fact& fact : facts) {
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT(!IsDraining(*fact));
   }
 
-  void DigestsAreEqualExactlyWhenFactsAre()
+  void DigestsMatchOnlyWhenFactsMatch()
   {
     Directory left;
     Directory right;
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(left.mRoot != right.mRoot);
   }
 
-  void EntriesOfAServiceMoveLittleWhenAHostLeaves()
+  void FewEntriesOfAServiceChangeWhenAHostLeaves()
   {
     Directory directory;
     for (int i = 0; i < 16; ++i) {
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT(moved > 0 && moved < 50);
   }
 
-  void SpreadReachesOneRelayInEachOtherDataCentre()
+  void RecipientsIncludeOneRelayInEachOtherDataCentre()
   {
     Directory directory;
     for (int i = 0; i < 12; ++i) {
@@ -190,7 +190,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), Successors(directory, "a", 9).size());
   }
 
-  void ForgetDropsOnlyFactsLongGone()
+  void RemoveGoneKeepsFactsThatLeftRecently()
   {
     Directory directory;
     wire::Fact gone = TargetFact(1, 1, 0);
