--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -13,12 +13,12 @@
 class RetriesTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RetriesTest);
-  CPPUNIT_TEST(RetryIsAllowedOnlyWhereItIsHarmless);
+  CPPUNIT_TEST(RetryIsAllowedOnlyWhenItIsSafe);
   CPPUNIT_TEST(BudgetBoundsExtraAttempts);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void RetryIsAllowedOnlyWhereItIsHarmless()
+  void RetryIsAllowedOnlyWhenItIsSafe()
   {
     using retries::Effect;
     struct Case
@@ -74,11 +74,11 @@
 class BudgetTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(BudgetTest);
-  CPPUNIT_TEST(BucketNeverGivesMoreThanRateAndBurst);
+  CPPUNIT_TEST(BucketNeverExceedsItsRateAndBurst);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void BucketNeverGivesMoreThanRateAndBurst()
+  void BucketNeverExceedsItsRateAndBurst()
   {
     std::mt19937_64 random(3);
     budget::TokenBucket bucket{ 10, 5, 5, 0, 0, 0 };
@@ -99,15 +99,15 @@
 class LimitsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(LimitsTest);
-  CPPUNIT_TEST(NextTakesPriorityThenShareThenDeadline);
-  CPPUNIT_TEST(BulkNeverHoldsMoreThanItsShare);
+  CPPUNIT_TEST(NextOrdersByPriorityThenShareThenDeadline);
+  CPPUNIT_TEST(BulkIsLimitedToItsShare);
   CPPUNIT_TEST(BurstOfOneCallerDoesNotStarveAnother);
-  CPPUNIT_TEST(NewcomerIsRefusedAtOnceWhenTheWaitIsHopeless);
+  CPPUNIT_TEST(RequestIsRefusedAtOnceWhenItsWaitIsTooLong);
   CPPUNIT_TEST(RemovedWaiterIsNeverReturned);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void NextTakesPriorityThenShareThenDeadline()
+  void NextOrdersByPriorityThenShareThenDeadline()
   {
     limits::WaitQueue queue;
     limits::Add(queue, Waiter(1, "a", Priority::Normal, 50), 1);
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT(!limits::Next(queue, 8));
   }
 
-  void BulkNeverHoldsMoreThanItsShare()
+  void BulkIsLimitedToItsShare()
   {
     limits::WaitQueue queue;
     queue.mBulkShare = 0.25;
@@ -156,7 +156,7 @@
     CPPUNIT_ASSERT_EQUAL(10, quiet);
   }
 
-  void NewcomerIsRefusedAtOnceWhenTheWaitIsHopeless()
+  void RequestIsRefusedAtOnceWhenItsWaitIsTooLong()
   {
     limits::WaitQueue queue;
     queue.mLimit = 2;
@@ -196,10 +196,10 @@
 {
   CPPUNIT_TEST_SUITE(IdempotencyTest);
   CPPUNIT_TEST(KeyHasOneOwnerUntilItIsReleased);
-  CPPUNIT_TEST(LateCopyOfAReleasedClaimStaysVoid);
-  CPPUNIT_TEST(ForeignCompletionAndReleaseChangeNothing);
+  CPPUNIT_TEST(DelayedCopyOfAReleasedClaimIsIgnored);
+  CPPUNIT_TEST(CompletionAndReleaseByAnotherAttemptAreIgnored);
   CPPUNIT_TEST(RecordExpiresAfterItsRetentionOnly);
-  CPPUNIT_TEST(ScopeOfOneCallerNeverMeetsAnother);
+  CPPUNIT_TEST(ScopesOfCallersAreDisjoint);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -216,7 +216,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("answer"), record.answer().body());
   }
 
-  void LateCopyOfAReleasedClaimStaysVoid()
+  void DelayedCopyOfAReleasedClaimIsIgnored()
   {
     Release(1); // arrives before its claim
     CPPUNIT_ASSERT_EQUAL(wire::KEY_RELEASED, Claim(1).phase());
@@ -225,7 +225,7 @@
     CPPUNIT_ASSERT_EQUAL(wire::KEY_RELEASED, Claim(2).phase());
   }
 
-  void ForeignCompletionAndReleaseChangeNothing()
+  void CompletionAndReleaseByAnotherAttemptAreIgnored()
   {
     CPPUNIT_ASSERT(Owns(Claim(1), 1));
     Complete(2, "foreign");
@@ -244,7 +244,7 @@
     CPPUNIT_ASSERT(Owns(Claim(2, 100), 2));
   }
 
-  void ScopeOfOneCallerNeverMeetsAnother()
+  void ScopesOfCallersAreDisjoint()
   {
     const std::set<std::string> scoped = {
       idempotency::ScopedKey("a", "s", "k"),
@@ -300,7 +300,7 @@
 {
   CPPUNIT_TEST_SUITE(BurnTest);
   CPPUNIT_TEST(RateIsOneWhenTheBudgetIsSpentExactly);
-  CPPUNIT_TEST(WindowLeavesOutOlderBuckets);
+  CPPUNIT_TEST(WindowExcludesOlderBuckets);
   CPPUNIT_TEST(QuantileBoundsTheSamples);
   CPPUNIT_TEST_SUITE_END();
 
@@ -312,7 +312,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, burn::BurnRate({ 0, 0 }, 0.99), 1e-9);
   }
 
-  void WindowLeavesOutOlderBuckets()
+  void WindowExcludesOlderBuckets()
   {
     burn::Series series;
     burn::AddAnswer(series, 10 * kMinute, 1, "ran", false);
