--- a/include/geraniumpond/routing.h
+++ b/include/geraniumpond/routing.h
@@ -85,10 +85,10 @@
   Micros mLatencyHalfLife = 1500 * kMillisecond;
   /// Consecutive failures that eject a target.
   int mFailuresToEject = 3;
-  Micros mEjection = 1500 * kMillisecond;
-  Micros mMaxEjection = 3 * kSecond;
+  Micros mEjectionTime = 1500 * kMillisecond;
+  Micros mMaxEjectionTime = 3 * kSecond;
   /// Largest share of targets ejected at the same time.
-  double mMaxEjected = 0.3;
+  double mMaxEjectedShare = 0.3;
   Micros mSlowStart = 10 * kSecond;
   /// Attempts beyond a target's slots that may queue at it.
   int mMaxQueued = 1;
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -15,7 +15,7 @@
   State& state = aContext.mState;
   ServiceState& service = state.mServices[aRules.mName];
   service.mTargets.mDataCentre = state.mSettings.data_centre();
-  service.mTargets.mRules.mMaxEjected = aRules.mMaxEjected;
+  service.mTargets.mRules.mMaxEjectedShare = aRules.mMaxEjected;
   service.mTargets.mRules.mSlowStart = aRules.mSlowStart;
   service.mQueue.mLimit = aRules.mQueueLimit;
   service.mQueue.mBulkShare = aRules.mBulkShare;
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -80,13 +80,13 @@
 {
   const double after =
     EjectedShare(aSet, aNow) + 1.0 / static_cast<double>(aSet.mTargets.size());
-  if (after > aSet.mRules.mMaxEjected + kRoundingTolerance &&
+  if (after > aSet.mRules.mMaxEjectedShare + kRoundingTolerance &&
       !OnProbation(aTarget)) {
     return;
   }
-  const Micros length = aSet.mRules.mEjection
+  const Micros length = aSet.mRules.mEjectionTime
                         << std::min(aTarget.mEjections, kMaxDoublings);
-  aTarget.mEjectedUntil = aNow + std::min(length, aSet.mRules.mMaxEjection);
+  aTarget.mEjectedUntil = aNow + std::min(length, aSet.mRules.mMaxEjectionTime);
   ++aTarget.mEjections;
   aTarget.mFailures = 0;
 }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT(!Pick(set, 501, 1, {}, {}));
     Finish(set, "t0", 1, Verdict::Failed, 502);
     CPPUNIT_ASSERT(!Pick(set, 503, 1, {}, {}));
-    const Micros expired = 502 + 2 * set.mRules.mMaxEjection;
+    const Micros expired = 502 + 2 * set.mRules.mMaxEjectionTime;
     Begin(set, 0, 2, {}, expired);
     Finish(set, "t0", 2, Verdict::Good, expired + 10);
     CPPUNIT_ASSERT_EQUAL(Micros(0), target.mEjectedUntil);
