--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -205,9 +205,9 @@
 
 } // namespace
 
-int main(int aCount, char** aWords)
+int main(int aCount, char** aArguments)
 {
-  const auto options = fakes::ParseOptions(aCount, aWords);
+  const auto options = fakes::ParseOptions(aCount, aArguments);
   std::vector<Policy> policies = { Policy::Reducer, Policy::Ideal };
   if (!options.Text("all").empty()) {
     policies = { Policy::Random,        Policy::RoundRobin,
