--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Slowness assigned to a failure, so that a target that fails fast does not
-// look fast.
+// Least slowness of a target after a failure, in typical latencies, so that a
+// target that fails fast looks slow rather than idle.
 constexpr double kFailurePenalty = 10.0;
 // Slowness above this is an outlier and decays to this value while idle.
 constexpr double kOutlierSlowness = 2.0;
