--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -131,7 +131,7 @@
   }
 }
 
-// Fills the event from the body; returns what is wrong, or nothing.
+// Fills the event from the body; returns an error message, empty on success.
 std::string FillAnnounce(const std::string& aBody, wire::TargetAnnounced& aOut)
 {
   try {
@@ -150,7 +150,7 @@
       aOut.mutable_load()->set_present(true);
     }
   } catch (const std::exception&) {
-    return "the body is not the JSON object of an announce";
+    return "the body is not a valid JSON object";
   }
   if (!IsAddress(aOut.address())) {
     return "address must be ip:port";
@@ -250,7 +250,8 @@
       return allowed ? aRoute.mView(aState, viewer, aCall, aNow) : "";
     });
   if (!allowed) {
-    return SendError(aCall, kUnauthorized, "a token that may see this");
+    return SendError(
+      aCall, kUnauthorized, "the token does not permit this request");
   }
   SendText(aCall, kOk, kJson, body);
   return After::KeepOpen;
--- a/src/edge/admin.h
+++ b/src/edge/admin.h
@@ -5,7 +5,8 @@
 
 namespace geraniumpond::edge {
 
-/// \brief Serves operators, targets and metrics on the admin address.
+/// \brief Handles requests of operators, targets and metric scrapers on the
+/// admin address.
 [[nodiscard]] After ServeAdmin(Runtime& aRuntime, Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -22,27 +22,30 @@
 using Poco::Net::HTTPResponse;
 
 constexpr Micros kConnectTimeout = kSecond;
-// The reducer's deadline comes first; this one only frees the thread.
+// Margin after the deadline that the reducer enforces; it only makes sure that
+// the thread is released.
 constexpr Micros kBackstop = 100 * kMillisecond;
-// A keyed attempt outlives its caller's deadline, so that its end is known.
+// An attempt with an idempotency key may run past its caller's deadline, so
+// that its outcome is known.
 constexpr Micros kKeyedGrace = 2 * kSecond;
-// A body that makes no progress for this long is broken.
+// Read timeout of a response body.
 constexpr Micros kBodySilence = 5 * kSecond;
-// Answers up to this size are read whole before the caller gets a byte.
+// Responses up to this size are read completely before any byte is forwarded.
 constexpr std::size_t kWholeFirst = 64 * 1024;
 constexpr std::size_t kMaxKeyedAnswer = 256 * 1024;
 constexpr std::size_t kBufferBytes = 64 * 1024;
 constexpr int kUnavailable = 503;
 constexpr std::uint32_t kBadGateway = 502;
 
-// Made once a thread: filling it anew would cost more than most answers.
+// One buffer per thread: clearing a new one for each response would cost more
+// than copying most responses.
 std::string& ThreadBuffer()
 {
   thread_local std::string buffer(kBufferBytes, '\0');
   return buffer;
 }
 
-/// One attempt, from its connection to its last byte.
+/// Runs one attempt, from connecting to the last byte of the response.
 class AttemptRun
 {
 public:
@@ -112,7 +115,7 @@
     FillTargetRequest(from, mDispatch, mTools.mRuntime.Now(), request);
     mSession->setTimeout(
       Poco::Timespan(std::max<Micros>(Remaining(), kMillisecond)));
-    // From here on the kernel may have bytes of it.
+    // From here on, part of the request may have been transmitted.
     mSent = true;
     mEnd.set_end(wire::END_BROKEN_BEFORE_HEAD);
     std::ostream& body = mSession->sendRequest(request);
@@ -122,7 +125,8 @@
     mSession->flushRequest();
   }
 
-  // Waits for the target; tells the reducer when the caller goes away first.
+  // Waits for the response head; posts an event if the caller disconnects
+  // first.
   void AwaitHead()
   {
     pollfd items[2] = {
@@ -134,7 +138,7 @@
     while (true) {
       const Micros left = Remaining();
       if (left <= 0) {
-        throw Poco::TimeoutException("deadline");
+        throw Poco::TimeoutException("attempt deadline exceeded");
       }
       const int ready =
         ::poll(items, 2, static_cast<int>(left / kMillisecond) + 1);
@@ -150,7 +154,7 @@
   void WatchCaller(pollfd& aItem)
   {
     const bool gone = (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-    // Pipelined bytes are no reason to stop, and are not looked at again.
+    // Pipelined data is no reason to stop; the socket is not polled again.
     aItem.fd = -1;
     if (gone) {
       wire::Event event;
@@ -186,7 +190,7 @@
     PassOn();
   }
 
-  /// Reads up to a limit; true when the body ended within it.
+  /// Reads up to a limit; returns true if the body ended within it.
   bool ReadWhole(std::size_t aLimit)
   {
     std::string& buffer = ThreadBuffer();
@@ -199,7 +203,7 @@
         return true;
       }
       if (read == BodyRead::Broken) {
-        throw Poco::Net::NetException("body broken");
+        throw Poco::Net::NetException("response body ended early");
       }
     }
     return false;
@@ -211,10 +215,10 @@
     answer.set_status(static_cast<std::uint32_t>(mResponse.getStatus()));
     answer.set_content_type(mResponse.getContentType());
     if (!ReadWhole(kMaxKeyedAnswer)) {
-      // It ran, but its answer is larger than a record may be.
+      // The request ran, but its response is too large to be recorded.
       answer.set_status(kBadGateway);
       answer.set_content_type("text/plain");
-      mBody = "answer too large to record\n";
+      mBody = "response too large to record\n";
     }
     answer.set_body(mBody);
     mExchange->KeepAnswer(mDispatch.attempt(), answer);
@@ -231,7 +235,7 @@
     head.set_status(mEnd.status());
     *head.mutable_load() = mEnd.load();
     const std::string etag = mResponse.get("ETag", "");
-    // A weak validator proves nothing about bytes.
+    // A weak validator does not guarantee identical bytes.
     if (etag.rfind("W/", 0) != 0 &&
         mResponse.get("Accept-Ranges", "") == "bytes") {
       head.set_strong_etag(etag);
@@ -242,7 +246,8 @@
 
   void PassOn()
   {
-    // A small answer that breaks has reached nobody, and can be tried again.
+    // If a small response breaks off, none of it has reached the caller, so the
+    // request can be retried.
     const bool small =
       mResponse.hasContentLength() &&
       mResponse.getContentLength64() <= static_cast<int>(kWholeFirst);
--- a/src/edge/attempt.h
+++ b/src/edge/attempt.h
@@ -10,7 +10,8 @@
 
 namespace geraniumpond::edge {
 
-/// \brief Counts attempts on threads of their own, so that a stop can wait.
+/// \brief Counts attempts that run on worker threads, so that shutdown can wait
+/// for them.
 class RunningCount
 {
 public:
@@ -24,7 +25,8 @@
   int mCount = 0;
 };
 
-/// \brief What attempts need: the reducer, connections, a count of threads.
+/// \brief Dependencies of an attempt: the reducer, the connection pool and the
+/// count of worker threads.
 struct AttemptTools
 {
   Runtime& mRuntime;
@@ -32,17 +34,17 @@
   RunningCount& mRunning;
 };
 
-/// \brief Sends a request to its target, reports what happens as events, and
-/// passes the answer on if the reducer accepts it.
+/// \brief Sends a request to its target, posts its progress as events, and
+/// forwards the response to the caller if the reducer accepts it.
 ///
-/// `aCall` is the caller's side; it must outlive the attempt unless the
-/// attempt buffers its answer.
+/// `aCall` is the caller's connection; it must outlive the attempt unless the
+/// attempt buffers its response.
 void RunAttempt(AttemptTools& aTools,
                 const std::shared_ptr<Exchange>& aExchange,
                 Call* aCall,
                 const wire::Dispatch& aDispatch);
 
-/// \brief Writes the outcome header and a stored or kept answer.
+/// \brief Sends a stored or buffered response with its outcome header.
 void SendStored(Call& aCall,
                 const wire::StoredAnswer& aAnswer,
                 const std::string& aOutcome);
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -201,7 +201,7 @@
   const std::shared_ptr<Exchange> exchange = aTools.mRuntime.NewExchange();
   After after = After::Break;
   try {
-    // A request that was cut short is not a request.
+    // A request with a truncated body is dropped.
     if (ReadRequest(aCall, exchange->mRequest)) {
       after = Serve(aTools, aCall, exchange);
     }
--- a/src/edge/callers.h
+++ b/src/edge/callers.h
@@ -4,7 +4,8 @@
 
 namespace geraniumpond::edge {
 
-/// \brief Serves one request of a caller: events in, effects performed.
+/// \brief Serves one request of a caller: posts it to the reducer and performs
+/// the resulting effects.
 [[nodiscard]] After ServeCaller(AttemptTools& aTools, Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -11,7 +11,7 @@
   try {
     aSocket.shutdown();
   } catch (const Poco::Exception&) {
-    // The other side was faster.
+    // The peer has closed the connection already.
   }
 }
 
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -17,7 +17,7 @@
 
 namespace geraniumpond::edge {
 
-/// \brief A caller's request as it is passed on to targets.
+/// \brief A caller's request as it is forwarded to targets.
 struct CallerRequest
 {
   std::string mMethod;
@@ -27,8 +27,8 @@
   int mClientSocket = -1;
 };
 
-/// \brief One request at the edge: where the reducer's effects for it arrive
-/// and where its attempts can be cut off.
+/// \brief One request in progress: receives the reducer's effects for it and
+/// can abort its attempts.
 class Exchange
 {
 public:
@@ -39,45 +39,50 @@
 
   [[nodiscard]] std::uint64_t Id() const noexcept { return mId; }
 
-  /// \brief What runs an attempt while the request's own thread is busy, and
-  /// every attempt that must outlive the caller.
+  /// \brief Runs attempts that start while the request's own thread is busy,
+  /// and all attempts that may outlive the caller's connection.
   using Worker = std::function<void(const wire::Dispatch&)>;
   void SetWorker(Worker aWorker) { mWorker = std::move(aWorker); }
 
-  /// \brief Hands an effect to whoever waits for it; called by the runtime.
+  /// \brief Delivers an effect to the thread that waits for it; called by the
+  /// runtime.
   void Deliver(const wire::Effect& aEffect);
 
-  /// \brief Next effect for the request itself.
+  /// \brief Waits for the next effect for the request itself; it is empty once
+  /// the request is finished.
   [[nodiscard]] wire::Effect Next();
 
-  /// \brief True to pass an attempt's answer on, false when it was dropped.
+  /// \brief Waits for the reducer's decision; true if the attempt's response is
+  /// to be forwarded, false if the attempt was cancelled.
   [[nodiscard]] bool AwaitDecision(std::uint64_t aAttempt);
 
-  /// \brief True when the accepted answer also ends the connection.
+  /// \brief True if the connection closes after the accepted response.
   [[nodiscard]] bool CloseAfter() const noexcept { return mCloseAfter; }
 
-  /// \brief Makes an attempt's socket known, so that a cancel cuts it off;
-  /// false when the attempt is cancelled already.
+  /// \brief Registers an attempt's socket, so that cancelling shuts it down;
+  /// false if the attempt has been cancelled already.
   [[nodiscard]] bool Attach(std::uint64_t aAttempt,
                             const Poco::Net::StreamSocket& aSocket);
   void Detach(std::uint64_t aAttempt);
 
-  /// \brief Ends the request: whoever waits for Next() gets an empty effect.
+  /// \brief Finishes the request; a waiting Next() returns an empty effect.
   void Finish(bool aCallerGone);
   [[nodiscard]] bool CallerGone() const noexcept { return mCallerGone; }
 
-  /// \brief The caller's side is over: attempts that still wait are dropped.
+  /// \brief Called when the caller's thread is done; attempts that still wait
+  /// for a decision are dropped.
   void End();
 
-  /// \brief Answer of a keyed request, kept until it is accepted.
+  /// \brief Stores the response of a request with an idempotency key until it
+  /// is accepted.
   void KeepAnswer(std::uint64_t aAttempt, wire::StoredAnswer aAnswer);
   [[nodiscard]] wire::StoredAnswer TakeAnswer(std::uint64_t aAttempt);
 
   CallerRequest mRequest;
-  /// Body bytes that the caller has; used by one accepted attempt at a time.
+  /// Body bytes sent to the caller; used by one accepted attempt at a time.
   std::uint64_t mDelivered = 0;
   bool mHeadSent = false;
-  /// Body of the answer to the caller, once its head was sent.
+  /// Stream of the response body to the caller; set once the head is sent.
   std::ostream* mClientStream = nullptr;
 
 private:
--- a/src/edge/files.cpp
+++ b/src/edge/files.cpp
@@ -113,7 +113,7 @@
   }
   wire::DeploymentVersion version;
   if (!version.ParseFromString(bytes.value())) {
-    return Fail(ErrorCode::Corrupt, "the cached deployment does not parse");
+    return Fail(ErrorCode::Corrupt, "the cached deployment cannot be parsed");
   }
   return version;
 }
--- a/src/edge/forwarding.h
+++ b/src/edge/forwarding.h
@@ -7,24 +7,25 @@
 #include <Poco/Net/HTTPRequest.h>
 #include <Poco/Net/HTTPResponse.h>
 
-/// \brief Headers between callers and targets; see docs/INTERFACES.md.
+/// \brief Forwarding of headers between callers and targets; see
+/// docs/INTERFACES.md.
 namespace geraniumpond::edge {
 
-/// \brief Fills a request to a target from the caller's.
+/// \brief Builds the request to a target from the caller's request.
 void FillTargetRequest(const CallerRequest& aFrom,
                        const wire::Dispatch& aDispatch,
                        Micros aNow,
                        Poco::Net::HTTPRequest& aOut);
 
-/// \brief Fills the answer to the caller from the target's.
+/// \brief Builds the response to the caller from the target's response.
 void FillCallerResponse(const Poco::Net::HTTPResponse& aFrom,
                         bool aBodyDone,
                         Poco::Net::HTTPResponse& aOut);
 
-/// \brief The load that a target put on its answer, if any.
+/// \brief Parses the load that a target reports in a response header, if any.
 [[nodiscard]] wire::LoadReport LoadOf(const Poco::Net::HTTPResponse& aResponse);
 
-/// \brief True when an answer continues the body that was asked for.
+/// \brief True if a response continues the body at the requested offset.
 [[nodiscard]] bool RangeMatches(const Poco::Net::HTTPResponse& aResponse,
                                 const wire::Dispatch& aDispatch);
 
--- a/src/edge/host.cpp
+++ b/src/edge/host.cpp
@@ -28,7 +28,8 @@
   return signals;
 }
 
-// Every thread inherits the mask, so that only WaitForStop() takes signals.
+// All threads inherit the mask, so that only WaitForStop() receives the
+// signals.
 void BlockSignals()
 {
   const sigset_t signals = StopSignals();
@@ -36,7 +37,7 @@
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-// A second signal changes nothing: a stop is never cut short silently.
+// A second signal does not abort a graceful shutdown.
 void WaitForStop(Runtime& aRuntime)
 {
   const sigset_t signals = StopSignals();
@@ -96,7 +97,7 @@
   Runtime runtime(aSettings, aRecordFile);
   const Result<bool> started = runtime.Start();
   if (!started) {
-    WriteLog(3, "start: " + started.error().mMessage);
+    WriteLog(3, "start failed: " + started.error().mMessage);
     return kExitFailure;
   }
   SessionPool pool;
--- a/src/edge/host.h
+++ b/src/edge/host.h
@@ -6,7 +6,7 @@
 
 namespace geraniumpond::edge {
 
-/// \brief Runs one host until it is told to stop; the process's exit code.
+/// \brief Runs one host until it is stopped; returns the process exit code.
 [[nodiscard]] int RunHost(const Settings& aSettings,
                           const std::string& aRecordFile);
 
--- a/src/edge/http_server.cpp
+++ b/src/edge/http_server.cpp
@@ -54,8 +54,8 @@
          });
 }
 
-// Kinds are told apart by their path, so that a path must mean the same here
-// and at the target.
+// Request kinds are matched by path, so a path must not be normalized to a
+// different one at the target.
 bool IsPlainPath(const std::string& aUri)
 {
   const std::string path = Poco::toLower(aUri.substr(0, aUri.find('?')));
@@ -129,7 +129,7 @@
         }
       }
     } catch (const Poco::Exception&) {
-      // The caller went away; there is nobody to tell.
+      // The caller has disconnected; no response can be sent.
     }
   }
 
@@ -232,7 +232,7 @@
     try {
       socket.shutdown();
     } catch (const Poco::Exception&) {
-      // Ended by the other side already.
+      // The peer has closed the connection already.
     }
   }
 }
@@ -284,7 +284,8 @@
 {
   const Poco::Net::SocketAddress address(mOptions.mAddress);
   Poco::Net::ServerSocket socket;
-  // Without sharing: a second process on the same port must fail.
+  // Without SO_REUSEPORT, so that a second process on the same port fails to
+  // bind.
   socket.bind(address, true, false);
   socket.listen(1024);
   auto* params = new Poco::Net::TCPServerParams;
--- a/src/edge/http_server.h
+++ b/src/edge/http_server.h
@@ -17,7 +17,7 @@
 
 namespace geraniumpond::edge {
 
-/// \brief What a handler wants done with the connection after its answer.
+/// \brief What to do with the connection after a handler has responded.
 enum class After
 {
   KeepOpen,
@@ -25,7 +25,7 @@
   Break
 };
 
-/// \brief One request on one connection.
+/// \brief An HTTP request with its response and connection.
 struct Call
 {
   Poco::Net::HTTPServerRequestImpl& mRequest;
@@ -33,28 +33,28 @@
   Poco::Net::HTTPServerSession& mSession;
 };
 
-/// \brief Why a request is refused before any handler sees it.
+/// \brief Why a request is rejected before it reaches a handler.
 struct Malformed
 {
   int mStatus = 0;
   std::string mReason;
 };
 
-/// \brief Checks the request's framing and path; status 0 when it is sound.
+/// \brief Validates the request's framing and path; status 0 if it is valid.
 [[nodiscard]] Malformed CheckRequest(
   const Poco::Net::HTTPServerRequestImpl& aRequest,
   std::uint64_t aMaxBody);
 
-/// \brief Bearer token's SHA-256, or the digest of nothing.
+/// \brief SHA-256 of the bearer token, or of the empty string without one.
 [[nodiscard]] std::string TokenDigest(const Poco::Net::HTTPRequest& aRequest);
 
-/// \brief Sends a small answer with its length.
+/// \brief Sends a complete response with a Content-Length.
 void SendText(Call& aCall,
               int aStatus,
               const std::string& aType,
               const std::string& aBody);
 
-/// \brief The sockets of open connections, so that a stop can end idle ones.
+/// \brief Sockets of open connections, so that shutdown can close idle ones.
 class OpenSockets
 {
 public:
@@ -68,7 +68,7 @@
   std::map<std::uint64_t, Poco::Net::StreamSocket> mSockets;
 };
 
-/// \brief An HTTP listener with one thread a connection.
+/// \brief HTTP server with one thread per connection.
 class HttpListener
 {
 public:
@@ -87,7 +87,7 @@
   HttpListener(const HttpListener&) = delete;
   HttpListener& operator=(const HttpListener&) = delete;
 
-  /// \brief Stops accepting and ends all connections.
+  /// \brief Stops accepting connections and closes all open ones.
   void Stop();
 
 private:
--- a/src/edge/logging.cpp
+++ b/src/edge/logging.cpp
@@ -94,7 +94,8 @@
   aOut << text.str();
 }
 
-/// \brief Writes whole lines to standard output, bounded and without waiting.
+/// \brief Writes complete lines to standard output, rate-limited and
+/// non-blocking.
 class BoundedOutput
   : public logging::sinks::
       basic_formatted_sink_backend<char, logging::sinks::synchronized_feeding>
@@ -116,7 +117,8 @@
   }
 
 private:
-  // A line per request of a small host, and bursts of a few seconds.
+  // Enough for one line per request of a small host, with bursts of a few
+  // seconds.
   static constexpr double kLinesPerSecond = 150;
   static constexpr double kBurst = 600;
 
@@ -133,8 +135,8 @@
     return true;
   }
 
-  // A pipe that is ready takes a line whole: lines are kept under its atomic
-  // size, and this is its only writer.
+  // A writable pipe accepts a whole line: lines are shorter than PIPE_BUF, and
+  // this is the only writer.
   static bool Write(const std::string& aLine)
   {
     pollfd output{ STDOUT_FILENO, POLLOUT, 0 };
--- a/src/edge/peers.cpp
+++ b/src/edge/peers.cpp
@@ -11,34 +11,36 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A silent connection is replaced within a second.
+// A dead connection is replaced within a second.
 constexpr int kHeartbeatMs = 300;
 constexpr int kHeartbeatTimeoutMs = 900;
-// A host that is back is reached again well within an election.
+// A restarted host is reached again well within an election timeout.
 constexpr int kReconnectMs = 30;
 constexpr int kReconnectMaxMs = 200;
-// A host without power does not refuse: the connect hangs, and what is meant
-// for it waits when it is back. A trip between regions and back takes 70 ms.
+// A host that is powered off does not refuse connections: the connect hangs,
+// and messages would still wait for it when the host is back. A round trip
+// between regions takes 70 ms.
 constexpr int kConnectTimeoutMs = 100;
 constexpr int kLingerMs = 100;
-// Connections are proved by heartbeats within this time.
+// Heartbeats detect a dead connection within this time.
 constexpr std::chrono::milliseconds kHeardLately{ kHeartbeatTimeoutMs };
-// What a host that is away has missed it asks for again.
+// Limit of messages queued per peer. A peer that was unreachable requests what
+// it missed.
 constexpr int kHighWater = 1000;
-// A receive mark stops the reading of a connection, heartbeats included, while
-// the reader is behind: the library then gives the connection up, joins the
-// full queue to a new one and ends the process when the reader goes on. Without
-// one nothing stops; the reader only hands messages over, and the inbox behind
-// it is bounded.
+// With a receive high-water mark, ZeroMQ stops reading a connection, including
+// its heartbeats, while the receiver is behind. It then drops the connection,
+// attaches the full queue to a new one and aborts the process when the receiver
+// continues. No limit is needed here: the receiver only passes messages on to
+// an inbox that is bounded.
 constexpr int kNoReceiveMark = 0;
 constexpr std::size_t kQueueLimit = 100000;
 constexpr std::int64_t kMaxMessageBytes = 256LL * 1024 * 1024;
-// Unused connections are looked for this often within their time.
+// Checks for unused connections per unused-connection timeout.
 constexpr int kLooksPerUnused = 4;
 constexpr const char* kWakeAddress = "inproc://wake";
 
-// A signal interrupts a call, also where the process was only stopped and goes
-// on: that is no failure.
+// Retries a call that a signal interrupted, which also happens when a stopped
+// process continues; this is no failure.
 template<class Call>
 auto Uninterrupted(const Call& aCall)
 {
@@ -102,7 +104,7 @@
     Clock::time_point mSentAt;
   };
   std::map<std::string, Connection> mOut;
-  /// When a peer was last heard on the connection that it opened.
+  /// When a message last arrived on the connection that a peer opened.
   std::map<std::string, Clock::time_point> mHeardAt;
 
   zmq::socket_t& To(const std::string& aAddress)
@@ -120,7 +122,7 @@
     return mOut.emplace(aAddress, std::move(connection)).first->second.mSocket;
   }
 
-  // Each wake-up looks at all of them, and each keeps heartbeats going.
+  // Every loop iteration polls all connections, and each one sends heartbeats.
   void CloseUnused(std::chrono::milliseconds aUnused)
   {
     const Clock::time_point now = Clock::now();
@@ -132,9 +134,9 @@
     }
   }
 
-  // True when the message has gone out on a connection that the peer opened. A
-  // peer that has just started is heard at once, while an own connect that
-  // began before it was there hangs until it is given up.
+  // Sends on the connection that the peer opened; false if there is none. This
+  // reaches a peer that has just started at once, while an outgoing connect
+  // that began before the start hangs until it times out.
   bool Return(const std::string& aAddress, const std::string& aBytes)
   {
     const auto heard = mHeardAt.find(aAddress);
@@ -147,7 +149,7 @@
         SendNow(mIn, zmq::buffer(aAddress), zmq::send_flags::sndmore);
       return head && SendNow(mIn, zmq::buffer(aBytes));
     } catch (const zmq::error_t&) {
-      // It has closed that connection.
+      // The peer has closed that connection.
       mHeardAt.erase(heard);
       return false;
     }
@@ -193,7 +195,8 @@
   , mSockets(std::make_unique<Sockets>(aOwn.mTold))
 {
   SetOptions(mSockets->mIn);
-  // Unreachable peers are told of; one that connects anew takes its place over.
+  // Report unreachable peers as errors, and let a peer that reconnects take
+  // over its routing id.
   mSockets->mIn.set(zmq::sockopt::router_mandatory, true);
   mSockets->mIn.set(zmq::sockopt::router_handover, true);
   mSockets->mIn.bind("tcp://" +
@@ -213,7 +216,8 @@
   mThread.join();
 }
 
-// Called with the lock held: ZeroMQ sockets belong to one thread at a time.
+// Called with the lock held: a ZeroMQ socket may only be used by one thread at
+// a time.
 void Peers::Wake()
 {
   (void)SendNow(mSockets->mWakeOut, zmq::str_buffer(""));
@@ -231,7 +235,7 @@
   }
 }
 
-// The turn that is under way may have begun before the call.
+// Waits for two iterations: the current one may have begun before the call.
 bool Peers::WaitForTurn(std::chrono::microseconds aMost)
 {
   std::unique_lock<std::mutex> lock(mMutex);
@@ -273,8 +277,8 @@
     if (mSockets->Return(address, bytes)) {
       continue;
     }
-    // A peer that is away long enough to fill its queue loses messages; every
-    // protocol above repairs that.
+    // Messages are lost if a peer is unreachable for long enough to fill its
+    // queue; all protocols on top recover from that.
     (void)SendNow(mSockets->To(address), zmq::buffer(bytes));
   }
 }
--- a/src/edge/peers.h
+++ b/src/edge/peers.h
@@ -17,8 +17,8 @@
 
 namespace geraniumpond::edge {
 
-/// \brief A host's own address: what others are told, and what is bound where
-/// connections to it are forwarded; empty for the same.
+/// \brief A host's own address: the one advertised to other hosts, and the one
+/// to bind if connections are forwarded to it; empty if both are the same.
 struct PeerAddresses
 {
   PeerAddresses(std::string aTold, std::string aBound = "")
@@ -31,19 +31,21 @@
   std::string mBound;
 };
 
-/// \brief Messages between hosts over ZeroMQ: one socket in, one out per peer
-/// that has not connected here itself.
+/// \brief Messaging between hosts over ZeroMQ: one listening socket, and one
+/// outgoing socket per peer that has not connected to this host.
 ///
-/// A peer that was heard lately is answered on the connection that it opened;
-/// heartbeats replace a connection that has gone silent. Connections of this
-/// host's own are closed when nothing was sent on them for a while.
+/// Messages to a peer that was heard recently go over the connection that it
+/// opened. Heartbeats detect dead connections, which are reestablished.
+/// Outgoing connections are closed when nothing has been sent on them for a
+/// while.
 class Peers
 {
 public:
-  /// Takes one message; called by the thread of this object.
+  /// Handles one received message; called on the messaging thread.
   using Handler = std::function<void(std::string_view)>;
 
-  /// \brief Time without a message after which an own connection is closed.
+  /// \brief Time without a sent message after which an outgoing connection is
+  /// closed.
   static constexpr std::chrono::milliseconds kUnused{ 10000 };
 
   Peers(const PeerAddresses& aOwn,
@@ -56,15 +58,15 @@
   /// \brief Queues a message; never blocks.
   void Send(const std::string& aAddress, std::string aMessage);
 
-  /// \brief Waits until the thread has sent what is queued and handed over what
-  /// has come, for `aMost` at the longest; false when it has not by then.
+  /// \brief Waits until the messaging thread has sent all queued messages and
+  /// handled all received ones; false if this takes longer than `aMost`.
   bool WaitForTurn(std::chrono::microseconds aMost);
 
-  /// \brief How long a message has waited at most, since the last call, to be
-  /// handed to its connection.
+  /// \brief Returns and resets the longest time that a message has been queued
+  /// before it was handed to its connection.
   [[nodiscard]] std::chrono::microseconds TakeLongestWait();
 
-  /// \brief Connections that this host opened itself.
+  /// \brief Number of outgoing connections.
   [[nodiscard]] std::size_t Connections() const noexcept { return mOpened; }
 
 private:
@@ -88,7 +90,7 @@
   void NoteWait(const std::deque<Queued>& aQueue);
   std::deque<Queued> mQueue;
   std::chrono::microseconds mLongestWait{ 0 };
-  /// Times that the thread has gone round.
+  /// Completed iterations of the messaging thread's loop.
   std::uint64_t mTurns = 0;
   std::condition_variable mTurned;
   bool mStopping = false;
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -40,8 +40,8 @@
   return "disk-" + std::to_string(device()) + std::to_string(device());
 }
 
-// A step takes about a microsecond, much less than putting a thread to sleep
-// and waking it again.
+// Spins before blocking: a step of the reducer takes about a microsecond, much
+// less than putting a thread to sleep and waking it up.
 std::unique_lock<std::mutex> LockSpinning(std::mutex& aMutex)
 {
   constexpr int kTries = 200;
@@ -55,7 +55,7 @@
   return std::unique_lock<std::mutex>(aMutex);
 }
 
-// Splitmix64: one random word per event, seeded once by the system.
+// SplitMix64: one random number per event, seeded once from the system.
 std::uint64_t NextWord(std::uint64_t& aState)
 {
   aState += 0x9e3779b97f4a7c15ULL;
@@ -116,7 +116,7 @@
   }
   if (stored.value().mCutBytes > 0) {
     WriteLog(2,
-             "log: cut a torn tail of " +
+             "log: removed an incomplete record of " +
                std::to_string(stored.value().mCutBytes) + " bytes");
   }
   *aStarted.mutable_hard_state() = stored.value().mHard;
@@ -151,8 +151,8 @@
       });
   } catch (const std::exception& error) {
     return Fail(ErrorCode::Io,
-                "listen for hosts on " + mSettings.mPeerAddress + ": " +
-                  error.what());
+                "cannot listen for other hosts on " + mSettings.mPeerAddress +
+                  ": " + error.what());
   }
   mThreads.emplace_back([this] { RunTimer(); });
   mThreads.emplace_back([this] { RunWriter(); });
@@ -290,7 +290,8 @@
     lock, kOperationPatience, [&] { return mOperationAnswers.count(id) != 0; });
   wire::OperationAnswer answer;
   answer.set_status(kUnavailable);
-  answer.set_body("{\"error\":\"unknown\",\"message\":\"no answer in time\"}");
+  answer.set_body("{\"error\":\"unknown\",\"message\":\"no result in time; the "
+                  "operation may still complete\"}");
   if (done) {
     answer = mOperationAnswers[id];
     mOperationAnswers.erase(id);
--- a/src/edge/runtime.h
+++ b/src/edge/runtime.h
@@ -22,7 +22,7 @@
 
 /// \brief Runs one host's reducer and performs its effects.
 ///
-/// Events are taken one at a time; effects are performed in order, and none
+/// Events are processed one at a time; effects are performed in order, and none
 /// of them blocks.
 class Runtime
 {
@@ -32,24 +32,25 @@
   Runtime& operator=(const Runtime&) = delete;
   ~Runtime();
 
-  /// \brief Reads the disk and takes the first event.
+  /// \brief Reads the stored state, starts the threads and processes the first
+  /// event.
   [[nodiscard]] Result<bool> Start();
 
-  /// \brief Stops threads; no event is taken afterwards.
+  /// \brief Stops all threads; no event is processed afterwards.
   void Stop();
 
-  /// \brief Takes one event; its time and random word are filled in here.
+  /// \brief Processes one event; sets its time and random number.
   void Post(wire::Event aEvent);
 
-  /// \brief Posts an operation and waits for its answer.
+  /// \brief Posts an operator's or target's request and waits for its result.
   [[nodiscard]] wire::OperationAnswer Operate(
     const std::function<void(wire::Event&, std::uint64_t)>& aFill);
 
-  /// \brief Makes an exchange known, so that effects reach it.
+  /// \brief Registers a new exchange, so that effects are delivered to it.
   [[nodiscard]] std::shared_ptr<Exchange> NewExchange();
   void EndExchange(const std::shared_ptr<Exchange>& aExchange);
 
-  /// \brief Reads the state under the lock.
+  /// \brief Calls `aReader` with the state and the time while holding the lock.
   template<class Reader>
   auto Read(Reader aReader)
   {
@@ -57,12 +58,14 @@
     return aReader(static_cast<const node::State&>(mState), Now());
   }
 
-  /// \brief Microseconds since 1970 at the start, monotonic from there on.
+  /// \brief Microseconds since the Unix epoch, taken at the start and monotonic
+  /// since then.
   [[nodiscard]] Micros Now() const;
   [[nodiscard]] bool Exited() const noexcept { return mExited; }
   [[nodiscard]] bool WaitExit(std::chrono::milliseconds aTimeout);
 
-  /// \brief Largest body of any kind in the deployment in force.
+  /// \brief Largest body size that any request kind of the current deployment
+  /// allows.
   [[nodiscard]] std::uint64_t MaxBodyBytes() const noexcept { return mMaxBody; }
 
 private:
--- a/src/edge/runtime_threads.cpp
+++ b/src/edge/runtime_threads.cpp
@@ -15,7 +15,7 @@
       mTimerChanged.wait_for(lock, std::chrono::microseconds(wait));
       continue;
     }
-    // The reducer sets the next time; until it does, do not spin.
+    // The reducer sets the next timer; avoid spinning until it does.
     mTimerAt = Now() + kMillisecond;
     lock.unlock();
     wire::Event event;
@@ -80,7 +80,8 @@
     const Result<bool> written =
       WriteCachedDeployment(mSettings.mDataFolder, *version);
     if (!written) {
-      WriteLog(2, "deployment cache: " + written.error().mMessage);
+      WriteLog(
+        2, "cannot write the deployment cache: " + written.error().mMessage);
     }
     lock.lock();
   }
--- a/src/edge/storage.cpp
+++ b/src/edge/storage.cpp
@@ -39,7 +39,7 @@
   return word;
 }
 
-// The payload of the record at an offset, when header and payload check out.
+// Returns the payload of the record at an offset if its checksums are valid.
 std::optional<std::string_view> RecordAt(std::string_view aBytes,
                                          std::size_t aAt)
 {
@@ -61,9 +61,9 @@
   return payload;
 }
 
-// A record that does not check out is a torn tail only if nothing whole comes
-// after it: appends reach the disk in order, so that whatever follows a whole
-// record had been acknowledged.
+// An invalid record is an incomplete last write only if no valid record follows
+// it: a write starts only after the previous one was synced, so a record that
+// is followed by another one had been acknowledged.
 bool AnyRecordAfter(std::string_view aBytes, std::size_t aAt)
 {
   for (std::size_t at = aAt + 1; at + kHeaderBytes < aBytes.size(); ++at) {
@@ -133,8 +133,8 @@
       if (AnyRecordAfter(bytes, at)) {
         return Fail(ErrorCode::Corrupt,
                     path + ": corrupt record at byte " + std::to_string(at) +
-                      " with whole records behind it; this host must not "
-                      "vote, give it an empty data folder to let it join anew");
+                      " with valid records after it; this host must not "
+                      "vote, give it an empty data folder to let it rejoin");
       }
       aOut.mCutBytes = bytes.size() - at;
       return CutTail(path, at);
@@ -142,7 +142,7 @@
     wire::LogRecord record;
     if (!record.ParseFromArray(payload->data(),
                                static_cast<int>(payload->size()))) {
-      return Fail(ErrorCode::Corrupt, path + ": a record does not parse");
+      return Fail(ErrorCode::Corrupt, path + ": a record cannot be parsed");
     }
     const Result<bool> taken = TakeRecord(record, aOut);
     if (!taken) {
@@ -168,8 +168,9 @@
   return true;
 }
 
-// A crash between the two files of a replacement leaves the older log: what
-// the snapshot covers or contradicts is void, a gap between them is not.
+// A crash between replacing the snapshot and replacing the log leaves the old
+// log. A log that the snapshot covers or contradicts is discarded; a gap
+// between the two is an error.
 Result<bool> FitToSnapshot(StoredState& aState)
 {
   std::vector<wire::Entry>& entries = aState.mEntries;
@@ -205,7 +206,7 @@
   if (!log) {
     return log.error();
   }
-  // The snapshot goes last: a disk without one was never made.
+  // The snapshot is written last: a folder without one is not initialized.
   return ReplaceFile(
     aFolder, kSnapshotFile, Frame(aSnapshot.SerializeAsString()));
 }
@@ -258,7 +259,7 @@
                          const wire::Membership& aMembers)
 {
   if (HasDisk(aFolder)) {
-    return Fail(ErrorCode::Conflict, aFolder + " already holds a disk");
+    return Fail(ErrorCode::Conflict, aFolder + " is already initialized");
   }
   wire::Snapshot snapshot;
   *snapshot.mutable_membership() = aMembers;
@@ -310,9 +311,9 @@
   return true;
 }
 
-// The records of one write are one frame: after a loss of power any part of
-// what was not synced may be missing, and whole records behind a missing one
-// would look like a corrupt log.
+// All records of one write share a frame: after a power failure any part of the
+// unsynced data may be missing, and valid records after a missing one would
+// look like a corrupt log.
 Result<bool> LogWriter::Write(const wire::Persist& aPersist)
 {
   std::string bytes;
--- a/src/edge/storage.h
+++ b/src/edge/storage.h
@@ -8,23 +8,24 @@
 #include <string>
 #include <vector>
 
-/// \brief Files of one host below its data folder.
+/// \brief Files in a host's data folder.
 namespace geraniumpond::edge {
 
-/// \brief What a host's disk held at its start.
+/// \brief State read from a host's data folder at startup.
 struct StoredState
 {
   wire::HardState mHard;
   wire::Snapshot mSnapshot;
   std::vector<wire::Entry> mEntries;
-  /// Bytes of a torn last record that were cut off.
+  /// Size of an incomplete last record that was removed from the log.
   std::uint64_t mCutBytes = 0;
 };
 
-/// \brief Reads snapshot and log; cuts a torn tail, refuses a corrupt middle.
+/// \brief Reads snapshot and log; truncates an incomplete record at the end of
+/// the log, fails on a corrupt record before it.
 [[nodiscard]] Result<StoredState> Recover(const std::string& aFolder);
 
-/// \brief Appends to the log file and replaces it together with a snapshot.
+/// \brief Appends to the log file; replaces it when a snapshot is written.
 class LogWriter
 {
 public:
@@ -34,13 +35,13 @@
   LogWriter& operator=(const LogWriter&) = delete;
   ~LogWriter();
 
-  /// \brief Writes without waiting for the disk.
+  /// \brief Writes records without syncing them to disk.
   [[nodiscard]] Result<bool> Write(const wire::Persist& aPersist);
 
-  /// \brief Drops what was written since the last sync, after a failure.
+  /// \brief Discards what was written since the last sync, after a failure.
   [[nodiscard]] Result<bool> Rewind();
 
-  /// \brief Returns when everything written is on disk.
+  /// \brief Syncs all written records to disk.
   [[nodiscard]] Result<bool> Sync();
 
 private:
@@ -54,34 +55,37 @@
   std::int64_t mSyncedBytes = 0;
 };
 
-/// \brief Replaces a file as a whole and syncs it and its folder.
+/// \brief Replaces a file atomically and syncs it and its folder.
 [[nodiscard]] Result<bool> ReplaceFile(const std::string& aFolder,
                                        const std::string& aName,
                                        const std::string& aContent);
 
-/// \brief Reads a whole file; NotFound when there is none.
+/// \brief Reads a whole file; NotFound if it does not exist.
 [[nodiscard]] Result<std::string> ReadFile(const std::string& aPath);
 
-/// \brief One record with its length and checksums, as the files hold it.
+/// \brief Encodes a record with its length and checksums, as stored in files.
 [[nodiscard]] std::string Frame(const std::string& aPayload);
 
-/// \brief Makes the disk of a founding control host; Conflict when it has one.
+/// \brief Initializes the data folder of a founding control host; Conflict if
+/// it is initialized already.
 [[nodiscard]] Result<bool> InitFounder(const std::string& aFolder,
                                        const wire::HostSettings& aSettings);
 
-/// \brief The same for a group whose founding members are given.
+/// \brief Same as above, with the founding members given.
 [[nodiscard]] Result<bool> InitFounder(const std::string& aFolder,
                                        const wire::Membership& aMembers);
 
-/// \brief Makes the disk of a control host that joins; keeps an existing one.
+/// \brief Initializes the data folder of a control host that joins a group;
+/// does nothing if it is initialized already.
 [[nodiscard]] Result<bool> InitJoiner(const std::string& aFolder,
                                       const std::string& aStorage);
 
-/// \brief Next incarnation: later than the clock's and any earlier one.
+/// \brief Next incarnation number: at least `aClock`, and greater than any
+/// earlier one.
 [[nodiscard]] Result<std::uint64_t> NextIncarnation(const std::string& aFolder,
                                                     std::uint64_t aClock);
 
-/// \brief The deployment that was last in force here, if it can be read.
+/// \brief Reads the deployment that was last in force on this host.
 [[nodiscard]] Result<wire::DeploymentVersion> ReadCachedDeployment(
   const std::string& aFolder);
 [[nodiscard]] Result<bool> WriteCachedDeployment(
--- a/src/edge/target_client.cpp
+++ b/src/edge/target_client.cpp
@@ -13,10 +13,11 @@
 constexpr std::size_t kMaxLine = 256;
 constexpr std::size_t kMaxTrailers = 64;
 constexpr int kKeepAliveSeconds = 3600;
-// Connections that were idle for longer are closed.
+// Connections that have been idle for longer are closed.
 constexpr Micros kForgetIdle = kMinute;
 
-// An idle connection must be silent; anything to read is an end or rubbish.
+// Nothing may arrive on an idle connection: readable data means that it was
+// closed or that the target sent unexpected bytes.
 bool IsQuiet(TargetSession& aSession)
 {
   pollfd item{ aSession.socket().impl()->sockfd(), POLLIN, 0 };
@@ -41,7 +42,7 @@
 
 int TargetSession::write(const char* aBuffer, std::streamsize aLength)
 {
-  // The parent reconnects and sends again, which could run a request twice.
+  // The base class reconnects and resends, which could run a request twice.
   // NOLINTNEXTLINE(bugprone-parent-virtual-call)
   return HTTPSession::write(aBuffer, aLength);
 }
@@ -75,7 +76,8 @@
     mRemaining = static_cast<std::uint64_t>(aResponse.getContentLength64());
     return true;
   }
-  // A body that ends with its connection cannot be told from a broken one.
+  // A body that ends when the connection closes cannot be distinguished from a
+  // truncated one.
   return false;
 }
 
@@ -171,7 +173,8 @@
       return nullptr;
     }
     if (aNow - session->mLastUsed > aMaxIdle) {
-      // The rest has been idle for longer still. Keep it for other kinds.
+      // The others have been idle for even longer. Keep this connection for
+      // request kinds that allow a longer idle time.
       idle.push_back(std::move(session));
       return nullptr;
     }
--- a/src/edge/target_client.h
+++ b/src/edge/target_client.h
@@ -14,7 +14,7 @@
 
 namespace geraniumpond::edge {
 
-/// \brief How reading a body went.
+/// \brief Result of reading a part of a body.
 enum class BodyRead
 {
   More,
@@ -24,25 +24,26 @@
 
 /// \brief A connection to a target.
 ///
-/// It never reconnects by itself, and it reads bodies itself: POCO takes a
-/// malformed or cut-off chunked body for a complete one.
+/// It never reconnects automatically, and it decodes bodies itself: POCO treats
+/// a malformed or truncated chunked body as complete.
 class TargetSession : public Poco::Net::HTTPClientSession
 {
 public:
   TargetSession(const std::string& aHost, std::uint16_t aPort);
 
-  /// \brief Connects now; throws what POCO throws.
+  /// \brief Connects to the target; throws POCO's exceptions.
   void Connect(Micros aTimeout);
 
-  /// \brief Starts reading the body that the response head announces; false
-  /// when its framing is not one of length, chunked or none.
+  /// \brief Prepares to read the body described by the response head; false
+  /// unless its framing is Content-Length, chunked or no body.
   [[nodiscard]] bool StartBody(const Poco::Net::HTTPResponse& aResponse,
                                bool aHeadOnly);
 
-  /// \brief Reads some of the body; `aSize` is in and out.
+  /// \brief Reads part of the body; `aSize` is the buffer size on entry and the
+  /// number of bytes read on return.
   [[nodiscard]] BodyRead ReadBody(char* aBuffer, std::size_t& aSize);
 
-  /// \brief True when the connection can carry another request.
+  /// \brief True if the connection can be used for another request.
   [[nodiscard]] bool Reusable() const noexcept { return mReusable; }
 
   Micros mLastUsed = 0;
@@ -69,11 +70,11 @@
   bool mReusable = false;
 };
 
-/// \brief Idle connections by target address.
+/// \brief Pool of idle connections by target address.
 class SessionPool
 {
 public:
-  /// \brief A connection proved alive within `aMaxIdle`, or null.
+  /// \brief Returns a connection that was used within `aMaxIdle`, or null.
   [[nodiscard]] std::unique_ptr<TargetSession> Take(const std::string& aAddress,
                                                     Micros aMaxIdle,
                                                     Micros aNow);
@@ -81,7 +82,7 @@
             std::unique_ptr<TargetSession> aSession,
             Micros aNow);
 
-  /// \brief Drops all idle connections to an address: one of them was silent.
+  /// \brief Closes all idle connections to an address, after a timeout on one.
   void Suspect(const std::string& aAddress);
 
 private:
