--- a/src/edge/storage.cpp
+++ b/src/edge/storage.cpp
@@ -62,8 +62,8 @@
 }
 
 // An invalid record is an incomplete last write only if no valid record follows
-// it: a write starts only after the previous one was synced, so a record that
-// is followed by another one had been acknowledged.
+// it: appends reach the disk in order, so an invalid record before a valid one
+// was damaged after it had been acknowledged.
 bool AnyRecordAfter(std::string_view aBytes, std::size_t aAt)
 {
   for (std::size_t at = aAt + 1; at + kHeaderBytes < aBytes.size(); ++at) {
