--- a/src/edge/peers.cpp
+++ b/src/edge/peers.cpp
@@ -23,26 +23,26 @@
 constexpr int kConnectTimeoutMs = 100;
 constexpr int kLingerMs = 100;
 // Heartbeats detect a dead connection within this time.
-constexpr std::chrono::milliseconds kHeardLately{ kHeartbeatTimeoutMs };
+constexpr std::chrono::milliseconds kHeardTimeout{ kHeartbeatTimeoutMs };
 // Limit of messages queued per peer. A peer that was unreachable requests what
 // it missed.
-constexpr int kHighWater = 1000;
+constexpr int kSendHighWaterMark = 1000;
 // With a receive high-water mark, ZeroMQ stops reading a connection, including
 // its heartbeats, while the receiver is behind. It then drops the connection,
 // attaches the full queue to a new one and aborts the process when the receiver
 // continues. No limit is needed here: the receiver only passes messages on to
 // an inbox that is bounded.
-constexpr int kNoReceiveMark = 0;
+constexpr int kNoReceiveLimit = 0;
 constexpr std::size_t kQueueLimit = 100000;
 constexpr std::int64_t kMaxMessageBytes = 256LL * 1024 * 1024;
 // Checks for unused connections per unused-connection timeout.
-constexpr int kLooksPerUnused = 4;
+constexpr int kChecksPerTimeout = 4;
 constexpr const char* kWakeAddress = "inproc://wake";
 
 // Retries a call that a signal interrupted, which also happens when a stopped
 // process continues; this is no failure.
 template<class Call>
-auto Uninterrupted(const Call& aCall)
+auto RetryInterrupted(const Call& aCall)
 {
   while (true) {
     try {
@@ -58,7 +58,7 @@
 template<class Message>
 auto ReceiveNow(zmq::socket_t& aSocket, Message& aMessage)
 {
-  return Uninterrupted(
+  return RetryInterrupted(
     [&] { return aSocket.recv(aMessage, zmq::recv_flags::dontwait); });
 }
 
@@ -67,7 +67,7 @@
              const Buffer& aBuffer,
              zmq::send_flags aFlags = zmq::send_flags::none)
 {
-  return Uninterrupted(
+  return RetryInterrupted(
     [&] { return aSocket.send(aBuffer, aFlags | zmq::send_flags::dontwait); });
 }
 
@@ -79,8 +79,8 @@
   aSocket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaxMs);
   aSocket.set(zmq::sockopt::connect_timeout, kConnectTimeoutMs);
   aSocket.set(zmq::sockopt::linger, kLingerMs);
-  aSocket.set(zmq::sockopt::sndhwm, kHighWater);
-  aSocket.set(zmq::sockopt::rcvhwm, kNoReceiveMark);
+  aSocket.set(zmq::sockopt::sndhwm, kSendHighWaterMark);
+  aSocket.set(zmq::sockopt::rcvhwm, kNoReceiveLimit);
   aSocket.set(zmq::sockopt::maxmsgsize, kMaxMessageBytes);
 }
 
@@ -95,7 +95,7 @@
 
   std::string mOwnAddress;
   zmq::context_t mContext{ 1 };
-  zmq::socket_t mIn{ mContext, zmq::socket_type::router };
+  zmq::socket_t mListener{ mContext, zmq::socket_type::router };
   zmq::socket_t mWakeOut{ mContext, zmq::socket_type::pair };
   zmq::socket_t mWakeIn{ mContext, zmq::socket_type::pair };
   struct Connection
@@ -103,14 +103,14 @@
     zmq::socket_t mSocket;
     Clock::time_point mSentAt;
   };
-  std::map<std::string, Connection> mOut;
+  std::map<std::string, Connection> mOutgoing;
   /// When a message last arrived on the connection that a peer opened.
   std::map<std::string, Clock::time_point> mHeardAt;
 
-  zmq::socket_t& To(const std::string& aAddress)
+  zmq::socket_t& OutgoingSocket(const std::string& aAddress)
   {
-    const auto found = mOut.find(aAddress);
-    if (found != mOut.end()) {
+    const auto found = mOutgoing.find(aAddress);
+    if (found != mOutgoing.end()) {
       found->second.mSentAt = Clock::now();
       return found->second.mSocket;
     }
@@ -119,35 +119,38 @@
     socket.set(zmq::sockopt::routing_id, mOwnAddress);
     socket.connect("tcp://" + aAddress);
     Connection connection{ std::move(socket), Clock::now() };
-    return mOut.emplace(aAddress, std::move(connection)).first->second.mSocket;
+    return mOutgoing.emplace(aAddress, std::move(connection))
+      .first->second.mSocket;
   }
 
   // Every loop iteration polls all connections, and each one sends heartbeats.
-  void CloseUnused(std::chrono::milliseconds aUnused)
+  void CloseUnused(std::chrono::milliseconds aUnusedTimeout)
   {
     const Clock::time_point now = Clock::now();
-    for (auto it = mOut.begin(); it != mOut.end();) {
-      it = now - it->second.mSentAt > aUnused ? mOut.erase(it) : std::next(it);
+    for (auto it = mOutgoing.begin(); it != mOutgoing.end();) {
+      it = now - it->second.mSentAt > aUnusedTimeout ? mOutgoing.erase(it)
+                                                     : std::next(it);
     }
     for (auto it = mHeardAt.begin(); it != mHeardAt.end();) {
-      it = now - it->second > kHeardLately ? mHeardAt.erase(it) : std::next(it);
+      it =
+        now - it->second > kHeardTimeout ? mHeardAt.erase(it) : std::next(it);
     }
   }
 
   // Sends on the connection that the peer opened; false if there is none. This
   // reaches a peer that has just started at once, while an outgoing connect
   // that began before the start hangs until it times out.
-  bool Return(const std::string& aAddress, const std::string& aBytes)
+  bool SendOnIncoming(const std::string& aAddress, const std::string& aBytes)
   {
     const auto heard = mHeardAt.find(aAddress);
     if (heard == mHeardAt.end() ||
-        Clock::now() - heard->second > kHeardLately) {
+        Clock::now() - heard->second > kHeardTimeout) {
       return false;
     }
     try {
       const auto head =
-        SendNow(mIn, zmq::buffer(aAddress), zmq::send_flags::sndmore);
-      return head && SendNow(mIn, zmq::buffer(aBytes));
+        SendNow(mListener, zmq::buffer(aAddress), zmq::send_flags::sndmore);
+      return head && SendNow(mListener, zmq::buffer(aBytes));
     } catch (const zmq::error_t&) {
       // The peer has closed that connection.
       mHeardAt.erase(heard);
@@ -158,30 +161,31 @@
   std::vector<zmq::pollitem_t> PollItems()
   {
     std::vector<zmq::pollitem_t> items = {
-      { mIn.handle(), 0, ZMQ_POLLIN, 0 }, { mWakeIn.handle(), 0, ZMQ_POLLIN, 0 }
+      { mListener.handle(), 0, ZMQ_POLLIN, 0 },
+      { mWakeIn.handle(), 0, ZMQ_POLLIN, 0 }
     };
-    for (auto& [address, connection] : mOut) {
+    for (auto& [address, connection] : mOutgoing) {
       items.push_back({ connection.mSocket.handle(), 0, ZMQ_POLLIN, 0 });
     }
     return items;
   }
 
-  template<class Take>
-  void Receive(const Take& aTake)
+  template<class OnMessage>
+  void Receive(const OnMessage& aOnMessage)
   {
     zmq::message_t message;
     std::string from;
-    while (ReceiveNow(mIn, message)) {
+    while (ReceiveNow(mListener, message)) {
       if (message.more()) {
         from = message.to_string();
         continue;
       }
       mHeardAt[from] = Clock::now();
-      aTake(message);
+      aOnMessage(message);
     }
-    for (auto& [address, connection] : mOut) {
+    for (auto& [address, connection] : mOutgoing) {
       while (ReceiveNow(connection.mSocket, message)) {
-        aTake(message);
+        aOnMessage(message);
       }
     }
   }
@@ -189,18 +193,18 @@
 
 Peers::Peers(const PeerAddresses& aOwn,
              Handler aHandler,
-             std::chrono::milliseconds aUnused)
+             std::chrono::milliseconds aUnusedTimeout)
   : mHandler(std::move(aHandler))
-  , mUnused(aUnused)
-  , mSockets(std::make_unique<Sockets>(aOwn.mTold))
+  , mUnusedTimeout(aUnusedTimeout)
+  , mSockets(std::make_unique<Sockets>(aOwn.mAdvertised))
 {
-  SetOptions(mSockets->mIn);
+  SetOptions(mSockets->mListener);
   // Report unreachable peers as errors, and let a peer that reconnects take
   // over its routing id.
-  mSockets->mIn.set(zmq::sockopt::router_mandatory, true);
-  mSockets->mIn.set(zmq::sockopt::router_handover, true);
-  mSockets->mIn.bind("tcp://" +
-                     (aOwn.mBound.empty() ? aOwn.mTold : aOwn.mBound));
+  mSockets->mListener.set(zmq::sockopt::router_mandatory, true);
+  mSockets->mListener.set(zmq::sockopt::router_handover, true);
+  mSockets->mListener.bind(
+    "tcp://" + (aOwn.mBind.empty() ? aOwn.mAdvertised : aOwn.mBind));
   mSockets->mWakeIn.bind(kWakeAddress);
   mSockets->mWakeOut.connect(kWakeAddress);
   mThread = std::thread([this] { Run(); });
@@ -236,32 +240,32 @@
 }
 
 // Waits for two iterations: the current one may have begun before the call.
-bool Peers::WaitForTurn(std::chrono::microseconds aMost)
+bool Peers::WaitForIteration(std::chrono::microseconds aMost)
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  const std::uint64_t wanted = mTurns + 2;
+  const std::uint64_t wanted = mIterations + 2;
   Wake();
-  return mTurned.wait_for(lock, aMost, [&] {
-    if (mTurns + 1 == wanted) {
+  return mIterationDone.wait_for(lock, aMost, [&] {
+    if (mIterations + 1 == wanted) {
       Wake();
     }
-    return mTurns >= wanted || mStopping;
+    return mIterations >= wanted || mStopping;
   });
 }
 
-std::chrono::microseconds Peers::TakeLongestWait()
+std::chrono::microseconds Peers::TakeLongestQueueTime()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
-  NoteWait(mQueue);
-  return std::exchange(mLongestWait, std::chrono::microseconds(0));
+  RecordQueueTime(mQueue);
+  return std::exchange(mLongestQueueTime, std::chrono::microseconds(0));
 }
 
-void Peers::NoteWait(const std::deque<Queued>& aQueue)
+void Peers::RecordQueueTime(const std::deque<Queued>& aQueue)
 {
   if (!aQueue.empty()) {
     const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(
-      Clock::now() - aQueue.front().mAt);
-    mLongestWait = std::max(mLongestWait, wait);
+      Clock::now() - aQueue.front().mQueuedAt);
+    mLongestQueueTime = std::max(mLongestQueueTime, wait);
   }
 }
 
@@ -271,27 +275,28 @@
   {
     const std::lock_guard<std::mutex> lock(mMutex);
     queue.swap(mQueue);
-    NoteWait(queue);
+    RecordQueueTime(queue);
   }
   for (const auto& [address, bytes, at] : queue) {
-    if (mSockets->Return(address, bytes)) {
+    if (mSockets->SendOnIncoming(address, bytes)) {
       continue;
     }
     // Messages are lost if a peer is unreachable for long enough to fill its
     // queue; all protocols on top recover from that.
-    (void)SendNow(mSockets->To(address), zmq::buffer(bytes));
+    (void)SendNow(mSockets->OutgoingSocket(address), zmq::buffer(bytes));
   }
 }
 
 void Peers::Run()
 {
-  Clock::time_point closeAt = Clock::now() + mUnused / kLooksPerUnused;
+  Clock::time_point closeAt = Clock::now() + mUnusedTimeout / kChecksPerTimeout;
   while (true) {
     std::vector<zmq::pollitem_t> items = mSockets->PollItems();
-    Uninterrupted([&] { return zmq::poll(items, mUnused / kLooksPerUnused); });
+    RetryInterrupted(
+      [&] { return zmq::poll(items, mUnusedTimeout / kChecksPerTimeout); });
     if (Clock::now() >= closeAt) {
-      mSockets->CloseUnused(mUnused);
-      closeAt = Clock::now() + mUnused / kLooksPerUnused;
+      mSockets->CloseUnused(mUnusedTimeout);
+      closeAt = Clock::now() + mUnusedTimeout / kChecksPerTimeout;
     }
     zmq::message_t woken;
     while (ReceiveNow(mSockets->mWakeIn, woken)) {
@@ -300,10 +305,10 @@
     mSockets->Receive([this](const zmq::message_t& aMessage) {
       mHandler({ static_cast<const char*>(aMessage.data()), aMessage.size() });
     });
-    mOpened = mSockets->mOut.size();
+    mOutgoingCount = mSockets->mOutgoing.size();
     const std::lock_guard<std::mutex> lock(mMutex);
-    ++mTurns;
-    mTurned.notify_all();
+    ++mIterations;
+    mIterationDone.notify_all();
     if (mStopping && mQueue.empty()) {
       return;
     }
--- a/src/edge/peers.h
+++ b/src/edge/peers.h
@@ -21,14 +21,14 @@
 /// to bind if connections are forwarded to it; empty if both are the same.
 struct PeerAddresses
 {
-  PeerAddresses(std::string aTold, std::string aBound = "")
-    : mTold(std::move(aTold))
-    , mBound(std::move(aBound))
+  PeerAddresses(std::string aAdvertised, std::string aBind = "")
+    : mAdvertised(std::move(aAdvertised))
+    , mBind(std::move(aBind))
   {
   }
 
-  std::string mTold;
-  std::string mBound;
+  std::string mAdvertised;
+  std::string mBind;
 };
 
 /// \brief Messaging between hosts over ZeroMQ: one listening socket, and one
@@ -46,11 +46,11 @@
 
   /// \brief Time without a sent message after which an outgoing connection is
   /// closed.
-  static constexpr std::chrono::milliseconds kUnused{ 10000 };
+  static constexpr std::chrono::milliseconds kUnusedTimeout{ 10000 };
 
   Peers(const PeerAddresses& aOwn,
         Handler aHandler,
-        std::chrono::milliseconds aUnused = kUnused);
+        std::chrono::milliseconds aUnusedTimeout = kUnusedTimeout);
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
   ~Peers();
@@ -60,14 +60,17 @@
 
   /// \brief Waits until the messaging thread has sent all queued messages and
   /// handled all received ones; false if this takes longer than `aMost`.
-  bool WaitForTurn(std::chrono::microseconds aMost);
+  bool WaitForIteration(std::chrono::microseconds aMost);
 
   /// \brief Returns and resets the longest time that a message has been queued
   /// before it was handed to its connection.
-  [[nodiscard]] std::chrono::microseconds TakeLongestWait();
+  [[nodiscard]] std::chrono::microseconds TakeLongestQueueTime();
 
   /// \brief Number of outgoing connections.
-  [[nodiscard]] std::size_t Connections() const noexcept { return mOpened; }
+  [[nodiscard]] std::size_t OutgoingConnections() const noexcept
+  {
+    return mOutgoingCount;
+  }
 
 private:
   struct Sockets;
@@ -77,22 +80,22 @@
   void SendQueued();
 
   Handler mHandler;
-  std::chrono::milliseconds mUnused;
-  std::atomic<std::size_t> mOpened{ 0 };
+  std::chrono::milliseconds mUnusedTimeout;
+  std::atomic<std::size_t> mOutgoingCount{ 0 };
   std::unique_ptr<Sockets> mSockets;
   std::mutex mMutex;
   struct Queued
   {
     std::string mAddress;
     std::string mBytes;
-    std::chrono::steady_clock::time_point mAt;
+    std::chrono::steady_clock::time_point mQueuedAt;
   };
-  void NoteWait(const std::deque<Queued>& aQueue);
+  void RecordQueueTime(const std::deque<Queued>& aQueue);
   std::deque<Queued> mQueue;
-  std::chrono::microseconds mLongestWait{ 0 };
+  std::chrono::microseconds mLongestQueueTime{ 0 };
   /// Completed iterations of the messaging thread's loop.
-  std::uint64_t mTurns = 0;
-  std::condition_variable mTurned;
+  std::uint64_t mIterations = 0;
+  std::condition_variable mIterationDone;
   bool mStopping = false;
   std::thread mThread;
 };
--- a/src/frontend/gateway_calls.cpp
+++ b/src/frontend/gateway_calls.cpp
@@ -119,7 +119,8 @@
   }
   AddVerdictGauges(mState.mDispatch.mQuarantine, mNow, gauges);
   gauges["facts"] = static_cast<double>(fleet.mGossip.mEntries.size());
-  gauges["peer_connections"] = static_cast<double>(mPeers->Connections());
+  gauges["peer_connections"] =
+    static_cast<double>(mPeers->OutgoingConnections());
   dispatch::Counters counters = mState.mDispatch.mCounters;
   counters["snapshots_sent"] = traffic.mSnapshotsSent;
   counters["commands_sent"] = traffic.mCommandsSent;
--- a/src/frontend/gateway_process.cpp
+++ b/src/frontend/gateway_process.cpp
@@ -367,12 +367,12 @@
 void GatewayProcess::YieldToMessageThread(Micros aDueAt)
 {
   const Micros lateness = std::max<Micros>(0, mNow - aDueAt);
-  const Micros sendDelay = mPeers->TakeLongestWait().count();
+  const Micros sendDelay = mPeers->TakeLongestQueueTime().count();
   mLoadMonitor.RecordWait(WaitKind::Loop, lateness);
   mLoadMonitor.RecordWait(WaitKind::Outbox, sendDelay);
   const bool busy = std::max(lateness, sendDelay) > kLateThreshold;
   if (busy && mNow >= mYieldedAt + kYieldInterval) {
-    (void)mPeers->WaitForTurn(std::chrono::microseconds(kMaxYield));
+    (void)mPeers->WaitForIteration(std::chrono::microseconds(kMaxYield));
     mNow = Now();
     mYieldedAt = mNow;
   }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -39,11 +39,12 @@
     Peers peers(FreeAddress(), [](std::string_view) {});
     for (int i = 0; i < 50; ++i) {
       peers.Send(FreeAddress(), "heartbeat");
-      CPPUNIT_ASSERT(peers.WaitForTurn(std::chrono::seconds(5)));
-      (void)peers.TakeLongestWait();
+      CPPUNIT_ASSERT(peers.WaitForIteration(std::chrono::seconds(5)));
+      (void)peers.TakeLongestQueueTime();
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
       // Nothing is left to wait.
-      CPPUNIT_ASSERT(peers.TakeLongestWait() == std::chrono::microseconds(0));
+      CPPUNIT_ASSERT(peers.TakeLongestQueueTime() ==
+                     std::chrono::microseconds(0));
     }
   }
 
@@ -120,14 +121,14 @@
       FreeAddress(), [](std::string_view) {}, std::chrono::milliseconds(200));
     peers.Send(FreeAddress(), "to a host that is not there");
     peers.Send(FreeAddress(), "to another one");
-    for (int wait = 0; wait < 200 && peers.Connections() != 2; ++wait) {
+    for (int wait = 0; wait < 200 && peers.OutgoingConnections() != 2; ++wait) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), peers.Connections());
-    for (int wait = 0; wait < 400 && peers.Connections() != 0; ++wait) {
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), peers.OutgoingConnections());
+    for (int wait = 0; wait < 400 && peers.OutgoingConnections() != 0; ++wait) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), peers.Connections());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), peers.OutgoingConnections());
   }
 
   // Only the thread of messages takes the signal.
