--- a/src/cli/local.cpp
+++ b/src/cli/local.cpp
@@ -94,7 +94,7 @@
   }
   Poco::File(settings.mDataFolder).createDirectories();
   const Result<bool> made =
-    edge::InitFounder(settings.mDataFolder, node::ToWire(settings));
+    edge::InitFoundingHost(settings.mDataFolder, node::ToWire(settings));
   if (!made) {
     std::cerr << "geraniumpond: " << made.error().mMessage << "\n";
     return made.error().mCode == ErrorCode::Conflict ? ExitCode::Refused
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -106,7 +106,8 @@
   if (!mSettings.mControl) {
     return true;
   }
-  const Result<bool> made = InitJoiner(mSettings.mDataFolder, NewStorageName());
+  const Result<bool> made =
+    InitJoiningHost(mSettings.mDataFolder, NewStorageName());
   if (!made) {
     return made.error();
   }
@@ -114,10 +115,10 @@
   if (!stored) {
     return stored.error();
   }
-  if (stored.value().mCutBytes > 0) {
+  if (stored.value().mTruncatedBytes > 0) {
     WriteLog(2,
              "log: removed an incomplete record of " +
-               std::to_string(stored.value().mCutBytes) + " bytes");
+               std::to_string(stored.value().mTruncatedBytes) + " bytes");
   }
   *aStarted.mutable_hard_state() = stored.value().mHard;
   *aStarted.mutable_snapshot() = stored.value().mSnapshot;
--- a/src/edge/storage.cpp
+++ b/src/edge/storage.cpp
@@ -18,20 +18,20 @@
 constexpr const char* kLogFile = "log";
 constexpr const char* kSnapshotFile = "snapshot";
 constexpr std::size_t kHeaderBytes = 12;
-constexpr std::size_t kWordBytes = 4;
+constexpr std::size_t kUint32Bytes = 4;
 constexpr mode_t kFileMode = 0600;
 
-void PutWord(std::string& aOut, std::uint32_t aWord)
+void AppendUint32(std::string& aOut, std::uint32_t aWord)
 {
-  for (std::size_t i = 0; i < kWordBytes; ++i) {
+  for (std::size_t i = 0; i < kUint32Bytes; ++i) {
     aOut.push_back(static_cast<char>((aWord >> (8 * i)) & 0xff));
   }
 }
 
-std::uint32_t GetWord(std::string_view aBytes, std::size_t aAt)
+std::uint32_t ReadUint32(std::string_view aBytes, std::size_t aAt)
 {
   std::uint32_t word = 0;
-  for (std::size_t i = 0; i < kWordBytes; ++i) {
+  for (std::size_t i = 0; i < kUint32Bytes; ++i) {
     word |=
       static_cast<std::uint32_t>(static_cast<unsigned char>(aBytes[aAt + i]))
       << (8 * i);
@@ -40,22 +40,22 @@
 }
 
 // Returns the payload of the record at an offset if its checksums are valid.
-std::optional<std::string_view> RecordAt(std::string_view aBytes,
-                                         std::size_t aAt)
+std::optional<std::string_view> DecodeRecord(std::string_view aBytes,
+                                             std::size_t aAt)
 {
   if (aBytes.size() - aAt < kHeaderBytes) {
     return std::nullopt;
   }
-  const std::uint32_t length = GetWord(aBytes, aAt);
-  if (GetWord(aBytes, aAt + kWordBytes) !=
-      Checksum(aBytes.substr(aAt, kWordBytes))) {
+  const std::uint32_t length = ReadUint32(aBytes, aAt);
+  if (ReadUint32(aBytes, aAt + kUint32Bytes) !=
+      Checksum(aBytes.substr(aAt, kUint32Bytes))) {
     return std::nullopt;
   }
   if (length > aBytes.size() - aAt - kHeaderBytes) {
     return std::nullopt;
   }
   const std::string_view payload = aBytes.substr(aAt + kHeaderBytes, length);
-  if (GetWord(aBytes, aAt + 2 * kWordBytes) != Checksum(payload)) {
+  if (ReadUint32(aBytes, aAt + 2 * kUint32Bytes) != Checksum(payload)) {
     return std::nullopt;
   }
   return payload;
@@ -64,10 +64,10 @@
 // An invalid record is an incomplete last write only if no valid record follows
 // it: appends reach the disk in order, so an invalid record before a valid one
 // was damaged after it had been acknowledged.
-bool AnyRecordAfter(std::string_view aBytes, std::size_t aAt)
+bool HasValidRecordAfter(std::string_view aBytes, std::size_t aAt)
 {
   for (std::size_t at = aAt + 1; at + kHeaderBytes < aBytes.size(); ++at) {
-    const std::optional<std::string_view> payload = RecordAt(aBytes, at);
+    const std::optional<std::string_view> payload = DecodeRecord(aBytes, at);
     if (payload && !payload->empty()) {
       return true;
     }
@@ -75,7 +75,7 @@
   return false;
 }
 
-Result<bool> TakeRecord(const wire::LogRecord& aRecord, StoredState& aOut)
+Result<bool> ApplyRecord(const wire::LogRecord& aRecord, StoredState& aOut)
 {
   if (aRecord.has_hard_state()) {
     aOut.mHard = aRecord.hard_state();
@@ -83,7 +83,7 @@
   }
   if (aRecord.has_batch()) {
     for (const wire::LogRecord& record : aRecord.batch().records()) {
-      Result<bool> taken = TakeRecord(record, aOut);
+      Result<bool> taken = ApplyRecord(record, aOut);
       if (!taken) {
         return taken;
       }
@@ -108,7 +108,7 @@
   return true;
 }
 
-Result<bool> CutTail(const std::string& aPath, std::size_t aLength)
+Result<bool> TruncateFile(const std::string& aPath, std::size_t aLength)
 {
   if (::truncate(aPath.c_str(), static_cast<off_t>(aLength)) != 0) {
     return Fail(ErrorCode::Io, aPath + ": " + std::strerror(errno));
@@ -128,23 +128,23 @@
   const std::string_view bytes = content.value();
   std::size_t at = 0;
   while (at < bytes.size()) {
-    const std::optional<std::string_view> payload = RecordAt(bytes, at);
+    const std::optional<std::string_view> payload = DecodeRecord(bytes, at);
     if (!payload) {
-      if (AnyRecordAfter(bytes, at)) {
+      if (HasValidRecordAfter(bytes, at)) {
         return Fail(ErrorCode::Corrupt,
                     path + ": corrupt record at byte " + std::to_string(at) +
                       " with valid records after it; this host must not "
                       "vote, give it an empty data folder to let it rejoin");
       }
-      aOut.mCutBytes = bytes.size() - at;
-      return CutTail(path, at);
+      aOut.mTruncatedBytes = bytes.size() - at;
+      return TruncateFile(path, at);
     }
     wire::LogRecord record;
     if (!record.ParseFromArray(payload->data(),
                                static_cast<int>(payload->size()))) {
       return Fail(ErrorCode::Corrupt, path + ": a record cannot be parsed");
     }
-    const Result<bool> taken = TakeRecord(record, aOut);
+    const Result<bool> taken = ApplyRecord(record, aOut);
     if (!taken) {
       return taken.error();
     }
@@ -160,7 +160,8 @@
   if (!content) {
     return content.error();
   }
-  const std::optional<std::string_view> payload = RecordAt(content.value(), 0);
+  const std::optional<std::string_view> payload =
+    DecodeRecord(content.value(), 0);
   if (!payload || !aOut.mSnapshot.ParseFromArray(
                     payload->data(), static_cast<int>(payload->size()))) {
     return Fail(ErrorCode::Corrupt, path + ": the snapshot is corrupt");
@@ -171,7 +172,7 @@
 // A crash between replacing the snapshot and replacing the log leaves the old
 // log. A log that the snapshot covers or contradicts is discarded; a gap
 // between the two is an error.
-Result<bool> FitToSnapshot(StoredState& aState)
+Result<bool> ReconcileWithSnapshot(StoredState& aState)
 {
   std::vector<wire::Entry>& entries = aState.mEntries;
   const std::uint64_t covered = aState.mSnapshot.index();
@@ -195,9 +196,9 @@
   return true;
 }
 
-Result<bool> InitDisk(const std::string& aFolder,
-                      const wire::Snapshot& aSnapshot,
-                      const std::string& aStorage)
+Result<bool> InitFolder(const std::string& aFolder,
+                        const wire::Snapshot& aSnapshot,
+                        const std::string& aStorage)
 {
   wire::LogRecord record;
   record.mutable_hard_state()->set_storage(aStorage);
@@ -211,7 +212,7 @@
     aFolder, kSnapshotFile, Frame(aSnapshot.SerializeAsString()));
 }
 
-bool HasDisk(const std::string& aFolder)
+bool IsInitialized(const std::string& aFolder)
 {
   return ::access((aFolder + "/" + kSnapshotFile).c_str(), F_OK) == 0;
 }
@@ -222,9 +223,10 @@
 {
   std::string frame;
   frame.reserve(kHeaderBytes + aPayload.size());
-  PutWord(frame, static_cast<std::uint32_t>(aPayload.size()));
-  PutWord(frame, Checksum(std::string_view(frame).substr(0, kWordBytes)));
-  PutWord(frame, Checksum(aPayload));
+  AppendUint32(frame, static_cast<std::uint32_t>(aPayload.size()));
+  AppendUint32(frame,
+               Checksum(std::string_view(frame).substr(0, kUint32Bytes)));
+  AppendUint32(frame, Checksum(aPayload));
   return frame + aPayload;
 }
 
@@ -239,39 +241,40 @@
   if (!log) {
     return log.error();
   }
-  const Result<bool> fits = FitToSnapshot(state);
+  const Result<bool> fits = ReconcileWithSnapshot(state);
   if (!fits) {
     return fits.error();
   }
   return state;
 }
 
-Result<bool> InitFounder(const std::string& aFolder,
-                         const wire::HostSettings& aSettings)
+Result<bool> InitFoundingHost(const std::string& aFolder,
+                              const wire::HostSettings& aSettings)
 {
-  return InitFounder(
+  return InitFoundingHost(
     aFolder,
     consensus::InitialMembership(
       { aSettings.voters().begin(), aSettings.voters().end() }));
 }
 
-Result<bool> InitFounder(const std::string& aFolder,
-                         const wire::Membership& aMembers)
+Result<bool> InitFoundingHost(const std::string& aFolder,
+                              const wire::Membership& aMembers)
 {
-  if (HasDisk(aFolder)) {
+  if (IsInitialized(aFolder)) {
     return Fail(ErrorCode::Conflict, aFolder + " is already initialized");
   }
   wire::Snapshot snapshot;
   *snapshot.mutable_membership() = aMembers;
-  return InitDisk(aFolder, snapshot, consensus::kFoundingStorage);
+  return InitFolder(aFolder, snapshot, consensus::kFoundingStorage);
 }
 
-Result<bool> InitJoiner(const std::string& aFolder, const std::string& aStorage)
+Result<bool> InitJoiningHost(const std::string& aFolder,
+                             const std::string& aStorage)
 {
-  if (HasDisk(aFolder)) {
+  if (IsInitialized(aFolder)) {
     return true;
   }
-  return InitDisk(aFolder, wire::Snapshot(), aStorage);
+  return InitFolder(aFolder, wire::Snapshot(), aStorage);
 }
 
 LogWriter::LogWriter(std::string aFolder)
@@ -336,10 +339,11 @@
     }
     done += static_cast<std::size_t>(count);
   }
-  return aPersist.has_snapshot() ? Replace(aPersist) : Result<bool>(true);
+  return aPersist.has_snapshot() ? ReplaceSnapshotAndLog(aPersist)
+                                 : Result<bool>(true);
 }
 
-Result<bool> LogWriter::Replace(const wire::Persist& aPersist)
+Result<bool> LogWriter::ReplaceSnapshotAndLog(const wire::Persist& aPersist)
 {
   const Result<bool> snapshot = ReplaceFile(
     mFolder, kSnapshotFile, Frame(aPersist.snapshot().SerializeAsString()));
@@ -366,7 +370,7 @@
   return true;
 }
 
-Result<bool> LogWriter::Rewind()
+Result<bool> LogWriter::DiscardUnsynced()
 {
   if (::ftruncate(mFile, mSyncedBytes) != 0) {
     return Fail(ErrorCode::Io, std::string("rewind: ") + std::strerror(errno));
--- a/src/edge/storage.h
+++ b/src/edge/storage.h
@@ -18,7 +18,7 @@
   wire::Snapshot mSnapshot;
   std::vector<wire::Entry> mEntries;
   /// Size of an incomplete last record that was removed from the log.
-  std::uint64_t mCutBytes = 0;
+  std::uint64_t mTruncatedBytes = 0;
 };
 
 /// \brief Reads snapshot and log; truncates an incomplete record at the end of
@@ -39,7 +39,7 @@
   [[nodiscard]] Result<bool> Write(const wire::Persist& aPersist);
 
   /// \brief Discards what was written since the last sync, after a failure.
-  [[nodiscard]] Result<bool> Rewind();
+  [[nodiscard]] Result<bool> DiscardUnsynced();
 
   /// \brief Syncs all written records to disk.
   [[nodiscard]] Result<bool> Sync();
@@ -47,7 +47,8 @@
 private:
   explicit LogWriter(std::string aFolder);
   [[nodiscard]] Result<bool> OpenLog();
-  [[nodiscard]] Result<bool> Replace(const wire::Persist& aPersist);
+  [[nodiscard]] Result<bool> ReplaceSnapshotAndLog(
+    const wire::Persist& aPersist);
 
   std::string mFolder;
   int mFile = -1;
@@ -68,17 +69,18 @@
 
 /// \brief Initializes the data folder of a founding control host; Conflict if
 /// it is initialized already.
-[[nodiscard]] Result<bool> InitFounder(const std::string& aFolder,
-                                       const wire::HostSettings& aSettings);
+[[nodiscard]] Result<bool> InitFoundingHost(
+  const std::string& aFolder,
+  const wire::HostSettings& aSettings);
 
 /// \brief Same as above, with the founding members given.
-[[nodiscard]] Result<bool> InitFounder(const std::string& aFolder,
-                                       const wire::Membership& aMembers);
+[[nodiscard]] Result<bool> InitFoundingHost(const std::string& aFolder,
+                                            const wire::Membership& aMembers);
 
 /// \brief Initializes the data folder of a control host that joins a group;
 /// does nothing if it is initialized already.
-[[nodiscard]] Result<bool> InitJoiner(const std::string& aFolder,
-                                      const std::string& aStorage);
+[[nodiscard]] Result<bool> InitJoiningHost(const std::string& aFolder,
+                                           const std::string& aStorage);
 
 /// \brief Next incarnation number: at least `aClock`, and greater than any
 /// earlier one.
--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -55,12 +55,12 @@
                                const std::string& aStorage)
 {
   if (aIsFounder) {
-    const Result<bool> initialized = edge::InitFounder(aFolder, aFounders);
+    const Result<bool> initialized = edge::InitFoundingHost(aFolder, aFounders);
     if (!initialized && initialized.error().mCode != ErrorCode::Conflict) {
       return initialized.error();
     }
   }
-  const Result<bool> initialized = edge::InitJoiner(aFolder, aStorage);
+  const Result<bool> initialized = edge::InitJoiningHost(aFolder, aStorage);
   if (!initialized) {
     return initialized.error();
   }
@@ -69,7 +69,7 @@
     return stored.error();
   }
   RecoveredDisk disk;
-  disk.mTruncatedBytes = stored.value().mCutBytes;
+  disk.mTruncatedBytes = stored.value().mTruncatedBytes;
   disk.mRecovered.mHard = stored.value().mHard;
   disk.mRecovered.mSnapshot = stored.value().mSnapshot;
   disk.mRecovered.mEntries = std::move(stored.value().mEntries);
@@ -153,7 +153,7 @@
     }
     failing = true;
     // The batch may have been written in part, so it is rewritten completely.
-    const Result<bool> rewound = mLog->Rewind();
+    const Result<bool> rewound = mLog->DiscardUnsynced();
     if (!rewound) {
       mOnError(rewound.error().mMessage);
     }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -50,7 +50,7 @@
   {
     mFolder = Poco::TemporaryFile::tempName();
     Poco::File(mFolder).createDirectories();
-    CPPUNIT_ASSERT(InitFounder(mFolder, wire::HostSettings()));
+    CPPUNIT_ASSERT(InitFoundingHost(mFolder, wire::HostSettings()));
   }
   void tearDown() override { Poco::File(mFolder).remove(true); }
 
@@ -111,7 +111,7 @@
     wire::Persist second;
     *second.add_records() = EntryRecord(2);
     CPPUNIT_ASSERT(writer.value()->Write(second));
-    CPPUNIT_ASSERT(writer.value()->Rewind());
+    CPPUNIT_ASSERT(writer.value()->DiscardUnsynced());
     CPPUNIT_ASSERT(writer.value()->Write(second));
     CPPUNIT_ASSERT(writer.value()->Sync());
     const auto state = Recover(mFolder);
@@ -196,10 +196,10 @@
 
   void InitOfAnExistingDiskIsRefused()
   {
-    const auto again = InitFounder(mFolder, wire::HostSettings());
+    const auto again = InitFoundingHost(mFolder, wire::HostSettings());
     CPPUNIT_ASSERT(!again);
     CPPUNIT_ASSERT(again.error().mCode == ErrorCode::Conflict);
-    CPPUNIT_ASSERT(InitJoiner(mFolder, "other"));
+    CPPUNIT_ASSERT(InitJoiningHost(mFolder, "other"));
     CPPUNIT_ASSERT_EQUAL(std::string("founding"),
                          Recover(mFolder).value().mHard.storage());
   }
