--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -24,15 +24,15 @@
 constexpr Micros kConnectTimeout = kSecond;
 // Margin after the deadline that the reducer enforces; it only makes sure that
 // the thread is released.
-constexpr Micros kBackstop = 100 * kMillisecond;
+constexpr Micros kDeadlineMargin = 100 * kMillisecond;
 // An attempt with an idempotency key may run past its caller's deadline, so
 // that its outcome is known.
 constexpr Micros kKeyedGrace = 2 * kSecond;
 // Read timeout of a response body.
-constexpr Micros kBodySilence = 5 * kSecond;
+constexpr Micros kBodyReadTimeout = 5 * kSecond;
 // Responses up to this size are read completely before any byte is forwarded.
-constexpr std::size_t kWholeFirst = 64 * 1024;
-constexpr std::size_t kMaxKeyedAnswer = 256 * 1024;
+constexpr std::size_t kMaxBufferedResponse = 64 * 1024;
+constexpr std::size_t kMaxRecordedResponse = 256 * 1024;
 constexpr std::size_t kBufferBytes = 64 * 1024;
 constexpr int kUnavailable = 503;
 constexpr std::uint32_t kBadGateway = 502;
@@ -49,11 +49,11 @@
 class AttemptRun
 {
 public:
-  AttemptRun(AttemptTools& aTools,
+  AttemptRun(AttemptContext& aContext,
              const std::shared_ptr<Exchange>& aExchange,
              Call* aCall,
              const wire::Dispatch& aDispatch)
-    : mTools(aTools)
+    : mContext(aContext)
     , mExchange(aExchange)
     , mCall(aCall)
     , mDispatch(aDispatch)
@@ -67,16 +67,16 @@
   {
     try {
       if (Connect()) {
-        Converse();
+        PerformRequest();
       }
     } catch (const Poco::TimeoutException&) {
       mEnd.set_end(mSent ? wire::END_TIMED_OUT : wire::END_NOT_SENT);
-      mTools.mPool.Suspect(mDispatch.address());
+      mContext.mPool.Suspect(mDispatch.address());
     } catch (const std::exception&) {
-      NoteBreak();
+      RecordFailure();
     }
     mExchange->Detach(mDispatch.attempt());
-    GiveBack();
+    ReturnConnection();
     PostEnd();
   }
 
@@ -84,15 +84,15 @@
   [[nodiscard]] Micros Remaining() const
   {
     const Micros grace =
-      kBackstop + (mDispatch.buffer_answer() ? kKeyedGrace : 0);
-    return mDispatch.deadline_us() + grace - mTools.mRuntime.Now();
+      kDeadlineMargin + (mDispatch.buffer_answer() ? kKeyedGrace : 0);
+    return mDispatch.deadline_us() + grace - mContext.mRuntime.Now();
   }
 
   bool Connect()
   {
-    const Micros now = mTools.mRuntime.Now();
+    const Micros now = mContext.mRuntime.Now();
     mSession =
-      mTools.mPool.Take(mDispatch.address(), mDispatch.max_idle_us(), now);
+      mContext.mPool.Take(mDispatch.address(), mDispatch.max_idle_us(), now);
     if (mSession == nullptr) {
       const Poco::Net::SocketAddress address(mDispatch.address());
       mSession = std::make_unique<TargetSession>(address.host().toString(),
@@ -112,7 +112,7 @@
   {
     const CallerRequest& from = mExchange->mRequest;
     HTTPRequest request(from.mMethod, from.mUri, HTTPMessage::HTTP_1_1);
-    FillTargetRequest(from, mDispatch, mTools.mRuntime.Now(), request);
+    FillTargetRequest(from, mDispatch, mContext.mRuntime.Now(), request);
     mSession->setTimeout(
       Poco::Timespan(std::max<Micros>(Remaining(), kMillisecond)));
     // From here on, part of the request may have been transmitted.
@@ -146,12 +146,12 @@
         return;
       }
       if (ready > 0 && items[1].revents != 0) {
-        WatchCaller(items[1]);
+        CheckCallerSocket(items[1]);
       }
     }
   }
 
-  void WatchCaller(pollfd& aItem)
+  void CheckCallerSocket(pollfd& aItem)
   {
     const bool gone = (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
     // Pipelined data is no reason to stop; the socket is not polled again.
@@ -159,11 +159,11 @@
     if (gone) {
       wire::Event event;
       event.mutable_client_gone()->set_request(mDispatch.request());
-      mTools.mRuntime.Post(std::move(event));
+      mContext.mRuntime.Post(std::move(event));
     }
   }
 
-  void Converse()
+  void PerformRequest()
   {
     SendRequest();
     AwaitHead();
@@ -174,12 +174,12 @@
     if (!mSession->StartBody(mResponse, headOnly)) {
       return;
     }
-    mSession->setTimeout(Poco::Timespan(kBodySilence));
+    mSession->setTimeout(Poco::Timespan(kBodyReadTimeout));
     const bool refused =
       mResponse.getStatus() == kUnavailable &&
       Poco::icompare(mResponse.get("Geraniumpond-Not-Run", ""), "yes") == 0;
     if (refused) {
-      ReadWhole(kWholeFirst);
+      ReadUpTo(kMaxBufferedResponse);
       mEnd.set_end(wire::END_REFUSED);
       return;
     }
@@ -187,11 +187,11 @@
       BufferAnswer();
       return;
     }
-    PassOn();
+    ForwardResponse();
   }
 
   /// Reads up to a limit; returns true if the body ended within it.
-  bool ReadWhole(std::size_t aLimit)
+  bool ReadUpTo(std::size_t aLimit)
   {
     std::string& buffer = ThreadBuffer();
     while (mBody.size() < aLimit) {
@@ -214,7 +214,7 @@
     wire::StoredAnswer answer;
     answer.set_status(static_cast<std::uint32_t>(mResponse.getStatus()));
     answer.set_content_type(mResponse.getContentType());
-    if (!ReadWhole(kMaxKeyedAnswer)) {
+    if (!ReadUpTo(kMaxRecordedResponse)) {
       // The request ran, but its response is too large to be recorded.
       answer.set_status(kBadGateway);
       answer.set_content_type("text/plain");
@@ -241,18 +241,18 @@
       head.set_strong_etag(etag);
     }
     head.set_range_matches(RangeMatches(mResponse, mDispatch));
-    mTools.mRuntime.Post(std::move(event));
+    mContext.mRuntime.Post(std::move(event));
   }
 
-  void PassOn()
+  void ForwardResponse()
   {
     // If a small response breaks off, none of it has reached the caller, so the
     // request can be retried.
     const bool small =
       mResponse.hasContentLength() &&
-      mResponse.getContentLength64() <= static_cast<int>(kWholeFirst);
+      mResponse.getContentLength64() <= static_cast<int>(kMaxBufferedResponse);
     if (small) {
-      ReadWhole(kWholeFirst + 1);
+      ReadUpTo(kMaxBufferedResponse + 1);
     }
     PostHead();
     if (!mExchange->AwaitDecision(mDispatch.attempt())) {
@@ -287,7 +287,7 @@
         mExchange->mClientStream->flush();
       }
     } catch (const Poco::Exception&) {
-      mCallerBroke = true;
+      mSendToCallerFailed = true;
       throw;
     }
   }
@@ -317,19 +317,19 @@
     }
   }
 
-  void NoteBreak()
+  void RecordFailure()
   {
-    if (mCallerBroke) {
+    if (mSendToCallerFailed) {
       mEnd.set_end(wire::END_CLIENT_GONE);
     }
   }
 
-  void GiveBack()
+  void ReturnConnection()
   {
     if (mSession != nullptr && mBodyDone &&
         (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_REFUSED)) {
-      mTools.mPool.Give(
-        mDispatch.address(), std::move(mSession), mTools.mRuntime.Now());
+      mContext.mPool.Give(
+        mDispatch.address(), std::move(mSession), mContext.mRuntime.Now());
     }
   }
 
@@ -341,13 +341,13 @@
       (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_CLIENT_GONE);
     wire::Event event;
     *event.mutable_ended() = mEnd;
-    mTools.mRuntime.Post(std::move(event));
+    mContext.mRuntime.Post(std::move(event));
     if (finished) {
       mExchange->Finish(mEnd.end() == wire::END_CLIENT_GONE);
     }
   }
 
-  AttemptTools& mTools;
+  AttemptContext& mContext;
   std::shared_ptr<Exchange> mExchange;
   Call* mCall;
   wire::Dispatch mDispatch;
@@ -357,36 +357,36 @@
   std::string mBody;
   bool mBodyDone = false;
   bool mSent = false;
-  bool mCallerBroke = false;
+  bool mSendToCallerFailed = false;
 };
 
 } // namespace
 
-void RunningCount::Add()
+void RunningAttempts::Add()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   ++mCount;
 }
 
-void RunningCount::Done()
+void RunningAttempts::Done()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   --mCount;
-  mNone.notify_all();
+  mAllDone.notify_all();
 }
 
-void RunningCount::WaitNone()
+void RunningAttempts::WaitForAll()
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  mNone.wait(lock, [this] { return mCount == 0; });
+  mAllDone.wait(lock, [this] { return mCount == 0; });
 }
 
-void RunAttempt(AttemptTools& aTools,
+void RunAttempt(AttemptContext& aContext,
                 const std::shared_ptr<Exchange>& aExchange,
                 Call* aCall,
                 const wire::Dispatch& aDispatch)
 {
-  AttemptRun(aTools, aExchange, aCall, aDispatch).Run();
+  AttemptRun(aContext, aExchange, aCall, aDispatch).Run();
 }
 
 void SendStored(Call& aCall,
--- a/src/edge/attempt.h
+++ b/src/edge/attempt.h
@@ -12,26 +12,26 @@
 
 /// \brief Counts attempts that run on worker threads, so that shutdown can wait
 /// for them.
-class RunningCount
+class RunningAttempts
 {
 public:
   void Add();
   void Done();
-  void WaitNone();
+  void WaitForAll();
 
 private:
   std::mutex mMutex;
-  std::condition_variable mNone;
+  std::condition_variable mAllDone;
   int mCount = 0;
 };
 
 /// \brief Dependencies of an attempt: the reducer, the connection pool and the
 /// count of worker threads.
-struct AttemptTools
+struct AttemptContext
 {
   Runtime& mRuntime;
   SessionPool& mPool;
-  RunningCount& mRunning;
+  RunningAttempts& mRunning;
 };
 
 /// \brief Sends a request to its target, posts its progress as events, and
@@ -39,7 +39,7 @@
 ///
 /// `aCall` is the caller's connection; it must outlive the attempt unless the
 /// attempt buffers its response.
-void RunAttempt(AttemptTools& aTools,
+void RunAttempt(AttemptContext& aContext,
                 const std::shared_ptr<Exchange>& aExchange,
                 Call* aCall,
                 const wire::Dispatch& aDispatch);
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -134,33 +134,33 @@
   return After::KeepOpen;
 }
 
-void RunOnWorker(AttemptTools& aTools,
+void RunOnWorker(AttemptContext& aContext,
                  const std::shared_ptr<Exchange>& aExchange,
                  Call* aCall,
                  const wire::Dispatch& aDispatch)
 {
-  std::thread([&aTools, aExchange, aCall, aDispatch] {
-    RunAttempt(aTools, aExchange, aCall, aDispatch);
-    aTools.mRunning.Done();
+  std::thread([&aContext, aExchange, aCall, aDispatch] {
+    RunAttempt(aContext, aExchange, aCall, aDispatch);
+    aContext.mRunning.Done();
   }).detach();
 }
 
-After Serve(AttemptTools& aTools,
+After Serve(AttemptContext& aContext,
             Call& aCall,
             const std::shared_ptr<Exchange>& aExchange)
 {
-  aExchange->SetWorker([&aTools,
+  aExchange->SetWorker([&aContext,
                         weak = std::weak_ptr<Exchange>(aExchange),
                         &aCall](const wire::Dispatch& aDispatch) {
-    aTools.mRunning.Add();
-    RunOnWorker(aTools, weak.lock(), &aCall, aDispatch);
+    aContext.mRunning.Add();
+    RunOnWorker(aContext, weak.lock(), &aCall, aDispatch);
   });
-  aTools.mRuntime.Post(Arrival(aCall, *aExchange));
+  aContext.mRuntime.Post(Arrival(aCall, *aExchange));
   while (true) {
     const wire::Effect effect = aExchange->Next();
     switch (effect.body_case()) {
       case wire::Effect::kDispatch:
-        RunAttempt(aTools, aExchange, &aCall, effect.dispatch());
+        RunAttempt(aContext, aExchange, &aCall, effect.dispatch());
         break;
       case wire::Effect::kAnswer:
         return WriteAnswer(aCall, effect.answer());
@@ -174,7 +174,7 @@
   }
 }
 
-After ServeEntries(AttemptTools& aTools, Call& aCall)
+After ServeEntries(AttemptContext& aContext, Call& aCall)
 {
   std::string service;
   for (const auto& [name, value] :
@@ -184,7 +184,7 @@
     }
   }
   const std::string body =
-    aTools.mRuntime.Read([&](const node::State& aState, Micros) {
+    aContext.mRuntime.Read([&](const node::State& aState, Micros) {
       return views::Entries(aState, service);
     });
   SendText(aCall, 200, "application/json", body);
@@ -193,22 +193,22 @@
 
 } // namespace
 
-After ServeCaller(AttemptTools& aTools, Call& aCall)
+After ServeCaller(AttemptContext& aContext, Call& aCall)
 {
   if (aCall.mRequest.getURI().rfind(kEntriesPath, 0) == 0) {
-    return ServeEntries(aTools, aCall);
+    return ServeEntries(aContext, aCall);
   }
-  const std::shared_ptr<Exchange> exchange = aTools.mRuntime.NewExchange();
+  const std::shared_ptr<Exchange> exchange = aContext.mRuntime.NewExchange();
   After after = After::Break;
   try {
     // A request with a truncated body is dropped.
     if (ReadRequest(aCall, exchange->mRequest)) {
-      after = Serve(aTools, aCall, exchange);
+      after = Serve(aContext, aCall, exchange);
     }
   } catch (const Poco::Exception&) {
     after = After::Break;
   }
-  aTools.mRuntime.EndExchange(exchange);
+  aContext.mRuntime.EndExchange(exchange);
   return after;
 }
 
--- a/src/edge/callers.h
+++ b/src/edge/callers.h
@@ -6,6 +6,6 @@
 
 /// \brief Serves one request of a caller: posts it to the reducer and performs
 /// the resulting effects.
-[[nodiscard]] After ServeCaller(AttemptTools& aTools, Call& aCall);
+[[nodiscard]] After ServeCaller(AttemptContext& aContext, Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/host.cpp
+++ b/src/edge/host.cpp
@@ -61,17 +61,17 @@
 }
 
 HttpListener::Options CallerOptions(const Settings& aSettings,
-                                    AttemptTools& aTools)
+                                    AttemptContext& aContext)
 {
   HttpListener::Options options;
   options.mAddress = aSettings.mCallerAddress;
   options.mMaxConnections = aSettings.mMaxConnections;
-  options.mMaxBody = [&aTools] { return aTools.mRuntime.MaxBodyBytes(); };
-  options.mHandler = [&aTools](Call& aCall) {
-    return ServeCaller(aTools, aCall);
+  options.mMaxBody = [&aContext] { return aContext.mRuntime.MaxBodyBytes(); };
+  options.mHandler = [&aContext](Call& aCall) {
+    return ServeCaller(aContext, aCall);
   };
-  options.mOnMalformed = [&aTools](const Malformed& aFault) {
-    NoteMalformed(aTools.mRuntime, aFault);
+  options.mOnMalformed = [&aContext](const Malformed& aFault) {
+    NoteMalformed(aContext.mRuntime, aFault);
   };
   return options;
 }
@@ -101,17 +101,17 @@
     return kExitFailure;
   }
   SessionPool pool;
-  RunningCount running;
-  AttemptTools tools{ runtime, pool, running };
+  RunningAttempts running;
+  AttemptContext context{ runtime, pool, running };
   const HttpListener admin(AdminOptions(aSettings, runtime));
   std::unique_ptr<HttpListener> callers;
   if (aSettings.mEntry) {
-    callers = std::make_unique<HttpListener>(CallerOptions(aSettings, tools));
+    callers = std::make_unique<HttpListener>(CallerOptions(aSettings, context));
   }
   WriteLog(1, "serving");
   WaitForStop(runtime);
   callers.reset();
-  running.WaitNone();
+  running.WaitForAll();
   runtime.Stop();
   return 0;
 }
