--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -75,7 +75,7 @@
     } catch (const std::exception&) {
       RecordFailure();
     }
-    mExchange->Detach(mDispatch.attempt());
+    mExchange->DetachSocket(mDispatch.attempt());
     ReturnConnection();
     PostEnd();
   }
@@ -101,7 +101,7 @@
         std::max<Micros>(std::min(kConnectTimeout, Remaining()), 1));
       mEnd.set_new_connection(true);
     }
-    if (!mExchange->Attach(mDispatch.attempt(), mSession->socket())) {
+    if (!mExchange->AttachSocket(mDispatch.attempt(), mSession->socket())) {
       mEnd.set_end(wire::END_NOT_SENT);
       return false;
     }
@@ -221,7 +221,7 @@
       mBody = "response too large to record\n";
     }
     answer.set_body(mBody);
-    mExchange->KeepAnswer(mDispatch.attempt(), answer);
+    mExchange->StoreAnswer(mDispatch.attempt(), answer);
     *mEnd.mutable_answer() = std::move(answer);
     mEnd.set_end(wire::END_COMPLETE);
   }
@@ -274,14 +274,14 @@
   {
     Poco::Net::HTTPServerResponseImpl& response = mCall->mResponse;
     FillCallerResponse(mResponse, mBodyDone, response);
-    if (mExchange->CloseAfter()) {
+    if (mExchange->CloseAfterResponse()) {
       response.setKeepAlive(false);
     }
     mExchange->mHeadSent = true;
     try {
       if (mBodyDone && mExchange->mRequest.mMethod != "HEAD") {
         response.sendBuffer(mBody.data(), mBody.size());
-        mExchange->mDelivered = mBody.size();
+        mExchange->mDeliveredBytes = mBody.size();
       } else {
         mExchange->mClientStream = &response.send();
         mExchange->mClientStream->flush();
@@ -307,7 +307,7 @@
         mEnd.set_end(wire::END_CLIENT_GONE);
         return;
       }
-      mExchange->mDelivered += size;
+      mExchange->mDeliveredBytes += size;
       if (read == BodyRead::Done) {
         out.flush();
         mBodyDone = true;
@@ -335,7 +335,7 @@
 
   void PostEnd()
   {
-    mEnd.set_delivered_bytes(mExchange->mDelivered);
+    mEnd.set_delivered_bytes(mExchange->mDeliveredBytes);
     const bool finished =
       !mDispatch.buffer_answer() &&
       (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_CLIENT_GONE);
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -32,7 +32,7 @@
          std::find(dropped.begin(), dropped.end(), name) == dropped.end();
 }
 
-std::vector<std::string> NamedByConnection(
+std::vector<std::string> ConnectionHeaderNames(
   const Poco::Net::HTTPServerRequestImpl& aRequest)
 {
   std::vector<std::string> names;
@@ -55,7 +55,7 @@
   aOut.mMethod = request.getMethod();
   aOut.mUri = request.getURI();
   aOut.mClientSocket = aCall.mSession.socket().impl()->sockfd();
-  const std::vector<std::string> named = NamedByConnection(request);
+  const std::vector<std::string> named = ConnectionHeaderNames(request);
   for (const auto& [name, value] : request) {
     const bool hop =
       std::find(named.begin(), named.end(), Poco::toLower(name)) != named.end();
@@ -80,7 +80,7 @@
   return Poco::NumberParser::tryParseUnsigned(text, deadline) ? deadline : 0;
 }
 
-wire::Event Arrival(const Call& aCall, const Exchange& aExchange)
+wire::Event MakeArrivalEvent(const Call& aCall, const Exchange& aExchange)
 {
   const CallerRequest& request = aExchange.mRequest;
   wire::Event event;
@@ -125,9 +125,11 @@
   return After::KeepOpen;
 }
 
-After WriteKept(Call& aCall, Exchange& aExchange, std::uint64_t aAttempt)
+After WriteBufferedAnswer(Call& aCall,
+                          Exchange& aExchange,
+                          std::uint64_t aAttempt)
 {
-  if (aExchange.CloseAfter()) {
+  if (aExchange.CloseAfterResponse()) {
     aCall.mResponse.setKeepAlive(false);
   }
   SendStored(aCall, aExchange.TakeAnswer(aAttempt), "ran");
@@ -155,9 +157,9 @@
     aContext.mRunning.Add();
     RunOnWorker(aContext, weak.lock(), &aCall, aDispatch);
   });
-  aContext.mRuntime.Post(Arrival(aCall, *aExchange));
+  aContext.mRuntime.Post(MakeArrivalEvent(aCall, *aExchange));
   while (true) {
-    const wire::Effect effect = aExchange->Next();
+    const wire::Effect effect = aExchange->WaitForEffect();
     switch (effect.body_case()) {
       case wire::Effect::kDispatch:
         RunAttempt(aContext, aExchange, &aCall, effect.dispatch());
@@ -165,7 +167,8 @@
       case wire::Effect::kAnswer:
         return WriteAnswer(aCall, effect.answer());
       case wire::Effect::kAccept:
-        return WriteKept(aCall, *aExchange, effect.accept().attempt());
+        return WriteBufferedAnswer(
+          aCall, *aExchange, effect.accept().attempt());
       case wire::Effect::kBreakConnection:
         return After::Break;
       default:
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void CutOff(Poco::Net::StreamSocket& aSocket)
+void ShutDownSocket(Poco::Net::StreamSocket& aSocket)
 {
   try {
     aSocket.shutdown();
@@ -25,11 +25,11 @@
     mDecisions[attempt] = Decision::Cancel;
     const auto socket = mSockets.find(attempt);
     if (socket != mSockets.end()) {
-      CutOff(socket->second);
+      ShutDownSocket(socket->second);
     }
   } else if (aEffect.has_accept()) {
     mDecisions[aEffect.accept().attempt()] = Decision::Accept;
-    mCloseAfter = aEffect.accept().close_connection();
+    mCloseAfterResponse = aEffect.accept().close_connection();
     if (mAnswers.count(aEffect.accept().attempt()) != 0) {
       mInbox.push_back(aEffect);
     }
@@ -43,7 +43,7 @@
   mChanged.notify_all();
 }
 
-wire::Effect Exchange::Next()
+wire::Effect Exchange::WaitForEffect()
 {
   std::unique_lock<std::mutex> lock(mMutex);
   mBusy = !mInbox.empty() && mInbox.front().has_dispatch();
@@ -59,21 +59,21 @@
 bool Exchange::AwaitDecision(std::uint64_t aAttempt)
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  mChanged.wait(lock,
-                [&] { return mEnded || mDecisions.count(aAttempt) != 0; });
+  mChanged.wait(
+    lock, [&] { return mAttemptsDropped || mDecisions.count(aAttempt) != 0; });
   const auto decision = mDecisions.find(aAttempt);
   return decision != mDecisions.end() && decision->second == Decision::Accept;
 }
 
-void Exchange::End()
+void Exchange::DropWaitingAttempts()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
-  mEnded = true;
+  mAttemptsDropped = true;
   mChanged.notify_all();
 }
 
-bool Exchange::Attach(std::uint64_t aAttempt,
-                      const Poco::Net::StreamSocket& aSocket)
+bool Exchange::AttachSocket(std::uint64_t aAttempt,
+                            const Poco::Net::StreamSocket& aSocket)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   const auto decision = mDecisions.find(aAttempt);
@@ -84,7 +84,7 @@
   return true;
 }
 
-void Exchange::Detach(std::uint64_t aAttempt)
+void Exchange::DetachSocket(std::uint64_t aAttempt)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   mSockets.erase(aAttempt);
@@ -98,7 +98,7 @@
   mChanged.notify_all();
 }
 
-void Exchange::KeepAnswer(std::uint64_t aAttempt, wire::StoredAnswer aAnswer)
+void Exchange::StoreAnswer(std::uint64_t aAttempt, wire::StoredAnswer aAnswer)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   mAnswers[aAttempt] = std::move(aAnswer);
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -50,37 +50,41 @@
 
   /// \brief Waits for the next effect for the request itself; it is empty once
   /// the request is finished.
-  [[nodiscard]] wire::Effect Next();
+  [[nodiscard]] wire::Effect WaitForEffect();
 
   /// \brief Waits for the reducer's decision; true if the attempt's response is
   /// to be forwarded, false if the attempt was cancelled.
   [[nodiscard]] bool AwaitDecision(std::uint64_t aAttempt);
 
   /// \brief True if the connection closes after the accepted response.
-  [[nodiscard]] bool CloseAfter() const noexcept { return mCloseAfter; }
+  [[nodiscard]] bool CloseAfterResponse() const noexcept
+  {
+    return mCloseAfterResponse;
+  }
 
   /// \brief Registers an attempt's socket, so that cancelling shuts it down;
   /// false if the attempt has been cancelled already.
-  [[nodiscard]] bool Attach(std::uint64_t aAttempt,
-                            const Poco::Net::StreamSocket& aSocket);
-  void Detach(std::uint64_t aAttempt);
+  [[nodiscard]] bool AttachSocket(std::uint64_t aAttempt,
+                                  const Poco::Net::StreamSocket& aSocket);
+  void DetachSocket(std::uint64_t aAttempt);
 
-  /// \brief Finishes the request; a waiting Next() returns an empty effect.
+  /// \brief Finishes the request; a waiting WaitForEffect() returns an empty
+  /// effect.
   void Finish(bool aCallerGone);
   [[nodiscard]] bool CallerGone() const noexcept { return mCallerGone; }
 
   /// \brief Called when the caller's thread is done; attempts that still wait
   /// for a decision are dropped.
-  void End();
+  void DropWaitingAttempts();
 
   /// \brief Stores the response of a request with an idempotency key until it
   /// is accepted.
-  void KeepAnswer(std::uint64_t aAttempt, wire::StoredAnswer aAnswer);
+  void StoreAnswer(std::uint64_t aAttempt, wire::StoredAnswer aAnswer);
   [[nodiscard]] wire::StoredAnswer TakeAnswer(std::uint64_t aAttempt);
 
   CallerRequest mRequest;
   /// Body bytes sent to the caller; used by one accepted attempt at a time.
-  std::uint64_t mDelivered = 0;
+  std::uint64_t mDeliveredBytes = 0;
   bool mHeadSent = false;
   /// Stream of the response body to the caller; set once the head is sent.
   std::ostream* mClientStream = nullptr;
@@ -100,12 +104,12 @@
   std::map<std::uint64_t, Poco::Net::StreamSocket> mSockets;
   std::map<std::uint64_t, wire::StoredAnswer> mAnswers;
   bool mFinished = false;
-  bool mEnded = false;
+  bool mAttemptsDropped = false;
   bool mCallerGone = false;
   /// Set while the request's own thread runs an attempt.
   bool mBusy = false;
   Worker mWorker;
-  bool mCloseAfter = false;
+  bool mCloseAfterResponse = false;
 };
 
 } // namespace geraniumpond::edge
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -317,7 +317,7 @@
 
 void Runtime::EndExchange(const std::shared_ptr<Exchange>& aExchange)
 {
-  aExchange->End();
+  aExchange->DropWaitingAttempts();
   const std::lock_guard<std::mutex> lock(mExchangeMutex);
   mExchanges.erase(aExchange->Id());
 }
