--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -71,7 +71,7 @@
       }
     } catch (const Poco::TimeoutException&) {
       mEnd.set_end(mSent ? wire::END_TIMED_OUT : wire::END_NOT_SENT);
-      mContext.mPool.Suspect(mDispatch.address());
+      mContext.mPool.CloseIdle(mDispatch.address());
     } catch (const std::exception&) {
       RecordFailure();
     }
@@ -92,7 +92,7 @@
   {
     const Micros now = mContext.mRuntime.Now();
     mSession =
-      mContext.mPool.Take(mDispatch.address(), mDispatch.max_idle_us(), now);
+      mContext.mPool.Acquire(mDispatch.address(), mDispatch.max_idle_us(), now);
     if (mSession == nullptr) {
       const Poco::Net::SocketAddress address(mDispatch.address());
       mSession = std::make_unique<TargetSession>(address.host().toString(),
@@ -328,7 +328,7 @@
   {
     if (mSession != nullptr && mBodyDone &&
         (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_REFUSED)) {
-      mContext.mPool.Give(
+      mContext.mPool.Release(
         mDispatch.address(), std::move(mSession), mContext.mRuntime.Now());
     }
   }
--- a/src/edge/target_client.cpp
+++ b/src/edge/target_client.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdle = 256;
+constexpr std::size_t kMaxIdleConnections = 256;
 constexpr std::size_t kMaxLine = 256;
 constexpr std::size_t kMaxTrailers = 64;
 constexpr int kKeepAliveSeconds = 3600;
 // Connections that have been idle for longer are closed.
-constexpr Micros kForgetIdle = kMinute;
+constexpr Micros kMaxIdleTime = kMinute;
 
 // Nothing may arrive on an idle connection: readable data means that it was
 // closed or that the target sent unexpected bytes.
-bool IsQuiet(TargetSession& aSession)
+bool HasNoPendingData(TargetSession& aSession)
 {
   pollfd item{ aSession.socket().impl()->sockfd(), POLLIN, 0 };
   return ::poll(&item, 1, 0) == 0;
@@ -159,16 +159,16 @@
   return BodyRead::More;
 }
 
-std::unique_ptr<TargetSession> SessionPool::Take(const std::string& aAddress,
-                                                 Micros aMaxIdle,
-                                                 Micros aNow)
+std::unique_ptr<TargetSession> SessionPool::Acquire(const std::string& aAddress,
+                                                    Micros aMaxIdle,
+                                                    Micros aNow)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   auto& idle = mIdle[aAddress];
   while (!idle.empty()) {
     std::unique_ptr<TargetSession> session = std::move(idle.back());
     idle.pop_back();
-    if (aNow - session->mLastUsed > kForgetIdle) {
+    if (aNow - session->mLastUsed > kMaxIdleTime) {
       idle.clear();
       return nullptr;
     }
@@ -178,16 +178,16 @@
       idle.push_back(std::move(session));
       return nullptr;
     }
-    if (IsQuiet(*session)) {
+    if (HasNoPendingData(*session)) {
       return session;
     }
   }
   return nullptr;
 }
 
-void SessionPool::Give(const std::string& aAddress,
-                       std::unique_ptr<TargetSession> aSession,
-                       Micros aNow)
+void SessionPool::Release(const std::string& aAddress,
+                          std::unique_ptr<TargetSession> aSession,
+                          Micros aNow)
 {
   if (!aSession->Reusable()) {
     return;
@@ -195,13 +195,13 @@
   aSession->mLastUsed = aNow;
   const std::lock_guard<std::mutex> lock(mMutex);
   auto& idle = mIdle[aAddress];
-  if (idle.size() >= kMaxIdle) {
+  if (idle.size() >= kMaxIdleConnections) {
     idle.erase(idle.begin());
   }
   idle.push_back(std::move(aSession));
 }
 
-void SessionPool::Suspect(const std::string& aAddress)
+void SessionPool::CloseIdle(const std::string& aAddress)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   mIdle.erase(aAddress);
--- a/src/edge/target_client.h
+++ b/src/edge/target_client.h
@@ -75,15 +75,14 @@
 {
 public:
   /// \brief Returns a connection that was used within `aMaxIdle`, or null.
-  [[nodiscard]] std::unique_ptr<TargetSession> Take(const std::string& aAddress,
-                                                    Micros aMaxIdle,
-                                                    Micros aNow);
-  void Give(const std::string& aAddress,
-            std::unique_ptr<TargetSession> aSession,
-            Micros aNow);
+  [[nodiscard]] std::unique_ptr<TargetSession>
+  Acquire(const std::string& aAddress, Micros aMaxIdle, Micros aNow);
+  void Release(const std::string& aAddress,
+               std::unique_ptr<TargetSession> aSession,
+               Micros aNow);
 
   /// \brief Closes all idle connections to an address, after a timeout on one.
-  void Suspect(const std::string& aAddress);
+  void CloseIdle(const std::string& aAddress);
 
 private:
   std::mutex mMutex;
