--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -23,7 +23,9 @@
 constexpr const char* kJson = "application/json";
 constexpr std::size_t kMaxName = 63;
 
-After SendError(Call& aCall, int aStatus, const std::string& aMessage)
+ConnectionAction SendError(Call& aCall,
+                           int aStatus,
+                           const std::string& aMessage)
 {
   Object object;
   object.set("error",
@@ -34,7 +36,7 @@
   std::ostringstream text;
   object.stringify(text);
   SendText(aCall, aStatus, kJson, text.str());
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 std::string Query(const Call& aCall, const std::string& aName)
@@ -68,13 +70,13 @@
   return body;
 }
 
-After Reply(Call& aCall, const wire::OperationAnswer& aAnswer)
+ConnectionAction Reply(Call& aCall, const wire::OperationAnswer& aAnswer)
 {
   SendText(aCall, static_cast<int>(aAnswer.status()), kJson, aAnswer.body());
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After Apply(Runtime& aRuntime, Call& aCall)
+ConnectionAction Apply(Runtime& aRuntime, Call& aCall)
 {
   const std::string body = Body(aCall);
   const std::string token = TokenDigest(aCall.mRequest);
@@ -93,7 +95,7 @@
     }));
 }
 
-After Drain(Runtime& aRuntime, Call& aCall)
+ConnectionAction Drain(Runtime& aRuntime, Call& aCall)
 {
   const std::string token = TokenDigest(aCall.mRequest);
   return Reply(aCall,
@@ -167,10 +169,10 @@
   return "";
 }
 
-After Announce(Runtime& aRuntime,
-               Call& aCall,
-               const std::string& aService,
-               const std::string& aId)
+ConnectionAction Announce(Runtime& aRuntime,
+                          Call& aCall,
+                          const std::string& aService,
+                          const std::string& aId)
 {
   wire::TargetAnnounced announced;
   if (!IsName(aService) || !IsName(aId)) {
@@ -238,7 +240,9 @@
   return routes;
 }
 
-After Show(Runtime& aRuntime, Call& aCall, const ViewRoute& aRoute)
+ConnectionAction ServeView(Runtime& aRuntime,
+                           Call& aCall,
+                           const ViewRoute& aRoute)
 {
   const std::string token = TokenDigest(aCall.mRequest);
   bool allowed = false;
@@ -254,10 +258,10 @@
       aCall, kUnauthorized, "the token does not permit this request");
   }
   SendText(aCall, kOk, kJson, body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After Health(Runtime& aRuntime, Call& aCall, bool aReadiness)
+ConnectionAction Health(Runtime& aRuntime, Call& aCall, bool aReadiness)
 {
   bool ready = false;
   const std::string body =
@@ -266,7 +270,7 @@
       return views::Health(aState);
     });
   SendText(aCall, ready || !aReadiness ? kOk : kUnavailable, kJson, body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 std::vector<std::string> Segments(const Call& aCall)
@@ -278,7 +282,7 @@
 
 } // namespace
 
-After ServeAdmin(Runtime& aRuntime, Call& aCall)
+ConnectionAction ServeAdmin(Runtime& aRuntime, Call& aCall)
 {
   const std::string path = Poco::URI(aCall.mRequest.getURI()).getPath();
   const std::string& method = aCall.mRequest.getMethod();
@@ -304,11 +308,11 @@
         return views::Metrics(aState, aNow);
       });
     SendText(aCall, kOk, "text/plain; version=0.0.4", body);
-    return After::KeepOpen;
+    return ConnectionAction::KeepOpen;
   }
   for (const ViewRoute& route : ViewRoutes()) {
     if (path == route.mPath) {
-      return Show(aRuntime, aCall, route);
+      return ServeView(aRuntime, aCall, route);
     }
   }
   return SendError(aCall, kNotFound, "unknown path");
--- a/src/edge/admin.h
+++ b/src/edge/admin.h
@@ -7,6 +7,6 @@
 
 /// \brief Handles requests of operators, targets and metric scrapers on the
 /// admin address.
-[[nodiscard]] After ServeAdmin(Runtime& aRuntime, Call& aCall);
+[[nodiscard]] ConnectionAction ServeAdmin(Runtime& aRuntime, Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -99,7 +99,7 @@
   return event;
 }
 
-After WriteAnswer(Call& aCall, const wire::Answer& aAnswer)
+ConnectionAction WriteAnswer(Call& aCall, const wire::Answer& aAnswer)
 {
   Poco::Net::HTTPServerResponseImpl& response = aCall.mResponse;
   if (aAnswer.close_connection()) {
@@ -107,7 +107,7 @@
   }
   if (aAnswer.has_stored()) {
     SendStored(aCall, aAnswer.stored(), aAnswer.outcome());
-    return After::KeepOpen;
+    return ConnectionAction::KeepOpen;
   }
   response.set("Geraniumpond-Outcome", aAnswer.outcome());
   if (aAnswer.retry_after_ms() > 0) {
@@ -122,18 +122,18 @@
            static_cast<int>(aAnswer.status()),
            "text/plain",
            aAnswer.reason() + "\n");
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After WriteBufferedAnswer(Call& aCall,
-                          Exchange& aExchange,
-                          std::uint64_t aAttempt)
+ConnectionAction WriteBufferedAnswer(Call& aCall,
+                                     Exchange& aExchange,
+                                     std::uint64_t aAttempt)
 {
   if (aExchange.CloseAfterResponse()) {
     aCall.mResponse.setKeepAlive(false);
   }
   SendStored(aCall, aExchange.TakeAnswer(aAttempt), "ran");
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 void RunOnWorker(AttemptContext& aContext,
@@ -147,9 +147,9 @@
   }).detach();
 }
 
-After Serve(AttemptContext& aContext,
-            Call& aCall,
-            const std::shared_ptr<Exchange>& aExchange)
+ConnectionAction Serve(AttemptContext& aContext,
+                       Call& aCall,
+                       const std::shared_ptr<Exchange>& aExchange)
 {
   aExchange->SetWorker([&aContext,
                         weak = std::weak_ptr<Exchange>(aExchange),
@@ -170,14 +170,15 @@
         return WriteBufferedAnswer(
           aCall, *aExchange, effect.accept().attempt());
       case wire::Effect::kBreakConnection:
-        return After::Break;
+        return ConnectionAction::Break;
       default:
-        return aExchange->CallerGone() ? After::Break : After::KeepOpen;
+        return aExchange->CallerGone() ? ConnectionAction::Break
+                                       : ConnectionAction::KeepOpen;
     }
   }
 }
 
-After ServeEntries(AttemptContext& aContext, Call& aCall)
+ConnectionAction ServeEntries(AttemptContext& aContext, Call& aCall)
 {
   std::string service;
   for (const auto& [name, value] :
@@ -191,28 +192,28 @@
       return views::Entries(aState, service);
     });
   SendText(aCall, 200, "application/json", body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 } // namespace
 
-After ServeCaller(AttemptContext& aContext, Call& aCall)
+ConnectionAction ServeCaller(AttemptContext& aContext, Call& aCall)
 {
   if (aCall.mRequest.getURI().rfind(kEntriesPath, 0) == 0) {
     return ServeEntries(aContext, aCall);
   }
   const std::shared_ptr<Exchange> exchange = aContext.mRuntime.NewExchange();
-  After after = After::Break;
+  ConnectionAction action = ConnectionAction::Break;
   try {
     // A request with a truncated body is dropped.
     if (ReadRequest(aCall, exchange->mRequest)) {
-      after = Serve(aContext, aCall, exchange);
+      action = Serve(aContext, aCall, exchange);
     }
   } catch (const Poco::Exception&) {
-    after = After::Break;
+    action = ConnectionAction::Break;
   }
   aContext.mRuntime.EndExchange(exchange);
-  return after;
+  return action;
 }
 
 } // namespace geraniumpond::edge
--- a/src/edge/callers.h
+++ b/src/edge/callers.h
@@ -6,6 +6,7 @@
 
 /// \brief Serves one request of a caller: posts it to the reducer and performs
 /// the resulting effects.
-[[nodiscard]] After ServeCaller(AttemptContext& aContext, Call& aCall);
+[[nodiscard]] ConnectionAction ServeCaller(AttemptContext& aContext,
+                                           Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/host.cpp
+++ b/src/edge/host.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-void NoteMalformed(Runtime& aRuntime, const Malformed& aFault)
+void ReportMalformed(Runtime& aRuntime, const RequestError& aFault)
 {
   WriteLog(0, "malformed request: " + aFault.mReason);
   wire::Event event;
@@ -70,8 +70,8 @@
   options.mHandler = [&aContext](Call& aCall) {
     return ServeCaller(aContext, aCall);
   };
-  options.mOnMalformed = [&aContext](const Malformed& aFault) {
-    NoteMalformed(aContext.mRuntime, aFault);
+  options.mOnMalformed = [&aContext](const RequestError& aFault) {
+    ReportMalformed(aContext.mRuntime, aFault);
   };
   return options;
 }
@@ -85,8 +85,8 @@
   options.mHandler = [&aRuntime](Call& aCall) {
     return ServeAdmin(aRuntime, aCall);
   };
-  options.mOnMalformed = [&aRuntime](const Malformed& aFault) {
-    NoteMalformed(aRuntime, aFault);
+  options.mOnMalformed = [&aRuntime](const RequestError& aFault) {
+    ReportMalformed(aRuntime, aFault);
   };
   return options;
 }
--- a/src/edge/http_server.cpp
+++ b/src/edge/http_server.cpp
@@ -38,7 +38,7 @@
          });
 }
 
-std::size_t CountOf(const HTTPRequest& aRequest, const std::string& aName)
+std::size_t CountHeaders(const HTTPRequest& aRequest, const std::string& aName)
 {
   return static_cast<std::size_t>(
     std::count_if(aRequest.begin(), aRequest.end(), [&](const auto& aField) {
@@ -56,7 +56,7 @@
 
 // Request kinds are matched by path, so a path must not be normalized to a
 // different one at the target.
-bool IsPlainPath(const std::string& aUri)
+bool IsNormalizedPath(const std::string& aUri)
 {
   const std::string path = Poco::toLower(aUri.substr(0, aUri.find('?')));
   if (path.empty() || path[0] != '/') {
@@ -73,13 +73,14 @@
   });
 }
 
-Malformed CheckLength(const HTTPRequest& aRequest, std::uint64_t aMaxBody)
+RequestError CheckLength(const HTTPRequest& aRequest, std::uint64_t aMaxBody)
 {
-  const std::size_t lengths = CountOf(aRequest, HTTPMessage::CONTENT_LENGTH);
-  if (CountOf(aRequest, HTTPMessage::TRANSFER_ENCODING) > 0) {
+  const std::size_t lengths =
+    CountHeaders(aRequest, HTTPMessage::CONTENT_LENGTH);
+  if (CountHeaders(aRequest, HTTPMessage::TRANSFER_ENCODING) > 0) {
     return lengths > 0
-             ? Malformed{ kBadRequest, "both length and transfer encoding" }
-             : Malformed{ kLengthRequired, "a Content-Length is required" };
+             ? RequestError{ kBadRequest, "both length and transfer encoding" }
+             : RequestError{ kLengthRequired, "a Content-Length is required" };
   }
   if (lengths > 1) {
     return { kBadRequest, "more than one Content-Length" };
@@ -141,27 +142,27 @@
       response.setVersion(request.getVersion());
       response.setKeepAlive(request.getKeepAlive() && aSession.canKeepAlive());
       Call call{ request, response, aSession };
-      const Malformed fault = CheckRequest(request, mOptions.mMaxBody());
+      const RequestError fault = CheckRequest(request, mOptions.mMaxBody());
       if (fault.mStatus != 0) {
-        return Refuse(call, fault);
+        return Reject(call, fault);
       }
       if (request.getExpectContinue()) {
         response.sendContinue();
       }
-      const After after = mOptions.mHandler(call);
-      if (after == After::Break) {
+      const ConnectionAction action = mOptions.mHandler(call);
+      if (action == ConnectionAction::Break) {
         socket().shutdown();
       }
-      return after == After::KeepOpen && response.getKeepAlive();
+      return action == ConnectionAction::KeepOpen && response.getKeepAlive();
     } catch (const Poco::Net::NoMessageException&) {
       return false;
     } catch (const Poco::Net::MessageException& error) {
-      RefuseUnread(response, error.displayText());
+      RejectUnparsed(response, error.displayText());
       return false;
     }
   }
 
-  bool Refuse(Call& aCall, const Malformed& aFault)
+  bool Reject(Call& aCall, const RequestError& aFault)
   {
     mOptions.mOnMalformed(aFault);
     aCall.mResponse.setKeepAlive(false);
@@ -170,8 +171,8 @@
     return false;
   }
 
-  void RefuseUnread(Poco::Net::HTTPServerResponseImpl& aResponse,
-                    const std::string& aReason)
+  void RejectUnparsed(Poco::Net::HTTPServerResponseImpl& aResponse,
+                      const std::string& aReason)
   {
     mOptions.mOnMalformed({ kBadRequest, aReason });
     if (aResponse.sent()) {
@@ -237,8 +238,8 @@
   }
 }
 
-Malformed CheckRequest(const Poco::Net::HTTPServerRequestImpl& aRequest,
-                       std::uint64_t aMaxBody)
+RequestError CheckRequest(const Poco::Net::HTTPServerRequestImpl& aRequest,
+                          std::uint64_t aMaxBody)
 {
   if (aRequest.getVersion() != HTTPMessage::HTTP_1_1) {
     return { kVersionNotSupported, "HTTP/1.1 only" };
@@ -246,14 +247,14 @@
   if (aRequest.getURI().size() > kMaxUri) {
     return { kUriTooLong, "URI too long" };
   }
-  if (!IsPlainPath(aRequest.getURI())) {
+  if (!IsNormalizedPath(aRequest.getURI())) {
     return { kBadRequest, "path not allowed" };
   }
-  const bool soundNames =
+  const bool validNames =
     std::all_of(aRequest.begin(), aRequest.end(), [](const auto& aField) {
       return IsToken(aField.first);
     });
-  if (!soundNames || !IsToken(aRequest.getMethod())) {
+  if (!validNames || !IsToken(aRequest.getMethod())) {
     return { kBadRequest, "malformed header" };
   }
   return CheckLength(aRequest, aMaxBody);
--- a/src/edge/http_server.h
+++ b/src/edge/http_server.h
@@ -18,7 +18,7 @@
 namespace geraniumpond::edge {
 
 /// \brief What to do with the connection after a handler has responded.
-enum class After
+enum class ConnectionAction
 {
   KeepOpen,
   Close,
@@ -34,14 +34,14 @@
 };
 
 /// \brief Why a request is rejected before it reaches a handler.
-struct Malformed
+struct RequestError
 {
   int mStatus = 0;
   std::string mReason;
 };
 
 /// \brief Validates the request's framing and path; status 0 if it is valid.
-[[nodiscard]] Malformed CheckRequest(
+[[nodiscard]] RequestError CheckRequest(
   const Poco::Net::HTTPServerRequestImpl& aRequest,
   std::uint64_t aMaxBody);
 
@@ -72,14 +72,14 @@
 class HttpListener
 {
 public:
-  using Handler = std::function<After(Call&)>;
+  using Handler = std::function<ConnectionAction(Call&)>;
   struct Options
   {
     std::string mAddress;
     int mMaxConnections = 100;
     std::function<std::uint64_t()> mMaxBody;
     Handler mHandler;
-    std::function<void(const Malformed&)> mOnMalformed;
+    std::function<void(const RequestError&)> mOnMalformed;
   };
 
   explicit HttpListener(Options aOptions);
