--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -81,7 +81,7 @@
   const std::string body = Body(aCall);
   const std::string token = TokenDigest(aCall.mRequest);
   return Reply(
-    aCall, aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aId) {
+    aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
       wire::OperatorApply& apply = *aEvent.mutable_apply();
       apply.set_operation(aId);
       apply.set_token_sha256(token);
@@ -98,16 +98,16 @@
 ConnectionAction Drain(Runtime& aRuntime, Call& aCall)
 {
   const std::string token = TokenDigest(aCall.mRequest);
-  return Reply(aCall,
-               aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aId) {
-                 wire::OperatorDrain& drain = *aEvent.mutable_drain();
-                 drain.set_operation(aId);
-                 drain.set_token_sha256(token);
-                 drain.set_what(Query(aCall, "what"));
-                 drain.set_service(Query(aCall, "service"));
-                 drain.set_id(Query(aCall, "id"));
-                 drain.set_undrain(Query(aCall, "undrain") == "yes");
-               }));
+  return Reply(
+    aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
+      wire::OperatorDrain& drain = *aEvent.mutable_drain();
+      drain.set_operation(aId);
+      drain.set_token_sha256(token);
+      drain.set_what(Query(aCall, "what"));
+      drain.set_service(Query(aCall, "service"));
+      drain.set_id(Query(aCall, "id"));
+      drain.set_undrain(Query(aCall, "undrain") == "yes");
+    }));
 }
 
 bool IsName(const std::string& aText)
@@ -186,7 +186,8 @@
   announced.set_id(aId);
   announced.set_token_sha256(TokenDigest(aCall.mRequest));
   return Reply(
-    aCall, aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aOperation) {
+    aCall,
+    aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aOperation) {
       announced.set_operation(aOperation);
       *aEvent.mutable_announced() = announced;
     }));
--- a/src/edge/logging.cpp
+++ b/src/edge/logging.cpp
@@ -104,15 +104,15 @@
   void consume(const logging::record_view&, const string_type& aLine)
   {
     if (!TakeToken()) {
-      ++mLeftOut;
+      ++mDroppedLines;
       return;
     }
-    if (mLeftOut > 0 &&
-        Write("event=log_lines_left_out count=" + std::to_string(mLeftOut))) {
-      mLeftOut = 0;
+    if (mDroppedLines > 0 && Write("event=log_lines_left_out count=" +
+                                   std::to_string(mDroppedLines))) {
+      mDroppedLines = 0;
     }
     if (!Write(aLine)) {
-      ++mLeftOut;
+      ++mDroppedLines;
     }
   }
 
@@ -151,7 +151,7 @@
 
   std::chrono::steady_clock::time_point mRefilled{};
   double mTokens = kBurst;
-  std::uint64_t mLeftOut = 0;
+  std::uint64_t mDroppedLines = 0;
 };
 
 } // namespace
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -18,7 +18,7 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-constexpr std::chrono::seconds kOperationPatience{ 20 };
+constexpr std::chrono::seconds kOperationTimeout{ 20 };
 constexpr std::uint32_t kUnavailable = 503;
 constexpr std::uint64_t kDefaultMaxBody = 1024 * 1024;
 
@@ -42,7 +42,7 @@
 
 // Spins before blocking: a step of the reducer takes about a microsecond, much
 // less than putting a thread to sleep and waking it up.
-std::unique_lock<std::mutex> LockSpinning(std::mutex& aMutex)
+std::unique_lock<std::mutex> LockWithSpinning(std::mutex& aMutex)
 {
   constexpr int kTries = 200;
   for (int i = 0; i < kTries; ++i) {
@@ -56,7 +56,7 @@
 }
 
 // SplitMix64: one random number per event, seeded once from the system.
-std::uint64_t NextWord(std::uint64_t& aState)
+std::uint64_t NextRandom(std::uint64_t& aState)
 {
   aState += 0x9e3779b97f4a7c15ULL;
   std::uint64_t word = aState;
@@ -156,8 +156,8 @@
                   ": " + error.what());
   }
   mThreads.emplace_back([this] { RunTimer(); });
-  mThreads.emplace_back([this] { RunWriter(); });
-  mThreads.emplace_back([this] { RunCache(); });
+  mThreads.emplace_back([this] { RunLogWriter(); });
+  mThreads.emplace_back([this] { RunCacheWriter(); });
   Post(std::move(event));
   return true;
 }
@@ -180,14 +180,14 @@
 
 void Runtime::Post(wire::Event aEvent)
 {
-  const std::unique_lock<std::mutex> lock = LockSpinning(mMutex);
+  const std::unique_lock<std::mutex> lock = LockWithSpinning(mMutex);
   aEvent.set_now_us(Now());
-  aEvent.set_random(NextWord(mRandomState));
+  aEvent.set_random(NextRandom(mRandomState));
   const wire::Effects effects = node::Step(mState, aEvent);
   if (mRecordFile) {
     Record(aEvent, effects);
   }
-  Perform(effects);
+  PerformEffects(effects);
 }
 
 void Runtime::Record(const wire::Event& aEvent, const wire::Effects& aEffects)
@@ -201,14 +201,14 @@
   }
 }
 
-void Runtime::Perform(const wire::Effects& aEffects)
+void Runtime::PerformEffects(const wire::Effects& aEffects)
 {
   for (const wire::Effect& effect : aEffects.effects()) {
-    PerformOne(effect);
+    PerformEffect(effect);
   }
 }
 
-void Runtime::PerformOne(const wire::Effect& aEffect)
+void Runtime::PerformEffect(const wire::Effect& aEffect)
 {
   const auto toExchange = [&](std::uint64_t aRequest) {
     const std::shared_ptr<Exchange> exchange = FindExchange(aRequest);
@@ -240,7 +240,7 @@
       break;
     case wire::Effect::kPersist: {
       const std::lock_guard<std::mutex> lock(mThreadMutex);
-      mWrites.push_back(aEffect.persist());
+      mPendingWrites.push_back(aEffect.persist());
       mWriteQueued.notify_one();
       break;
     }
@@ -259,7 +259,7 @@
     case wire::Effect::kCache: {
       UpdateMaxBody();
       const std::lock_guard<std::mutex> lock(mThreadMutex);
-      mCache =
+      mPendingDeployment =
         std::make_unique<wire::DeploymentVersion>(aEffect.cache().deployment());
       mCacheQueued.notify_one();
       break;
@@ -279,7 +279,7 @@
   }
 }
 
-wire::OperationAnswer Runtime::Operate(
+wire::OperationAnswer Runtime::RunOperation(
   const std::function<void(wire::Event&, std::uint64_t)>& aFill)
 {
   const std::uint64_t id = ++mLastOperation;
@@ -288,7 +288,7 @@
   Post(std::move(event));
   std::unique_lock<std::mutex> lock(mOperationMutex);
   const bool done = mOperationDone.wait_for(
-    lock, kOperationPatience, [&] { return mOperationAnswers.count(id) != 0; });
+    lock, kOperationTimeout, [&] { return mOperationAnswers.count(id) != 0; });
   wire::OperationAnswer answer;
   answer.set_status(kUnavailable);
   answer.set_body("{\"error\":\"unknown\",\"message\":\"no result in time; the "
--- a/src/edge/runtime.h
+++ b/src/edge/runtime.h
@@ -43,7 +43,7 @@
   void Post(wire::Event aEvent);
 
   /// \brief Posts an operator's or target's request and waits for its result.
-  [[nodiscard]] wire::OperationAnswer Operate(
+  [[nodiscard]] wire::OperationAnswer RunOperation(
     const std::function<void(wire::Event&, std::uint64_t)>& aFill);
 
   /// \brief Registers a new exchange, so that effects are delivered to it.
@@ -71,14 +71,14 @@
 private:
   [[nodiscard]] std::shared_ptr<Exchange> FindExchange(std::uint64_t aRequest);
   void UpdateMaxBody();
-  void Perform(const wire::Effects& aEffects);
-  void PerformOne(const wire::Effect& aEffect);
+  void PerformEffects(const wire::Effects& aEffects);
+  void PerformEffect(const wire::Effect& aEffect);
   void Record(const wire::Event& aEvent, const wire::Effects& aEffects);
   void RunTimer();
-  void RunWriter();
-  void RunCache();
+  void RunLogWriter();
+  void RunCacheWriter();
   void WriteBatch(const std::vector<wire::Persist>& aBatch);
-  void FailDisk(const std::string& aReason);
+  void ReportDiskFailure(const std::string& aReason);
   [[nodiscard]] Result<bool> FillStarted(wire::Started& aStarted);
 
   Settings mSettings;
@@ -107,8 +107,8 @@
   std::condition_variable mCacheQueued;
   std::condition_variable mExitChanged;
   Micros mTimerAt = 0;
-  std::vector<wire::Persist> mWrites;
-  std::unique_ptr<wire::DeploymentVersion> mCache;
+  std::vector<wire::Persist> mPendingWrites;
+  std::unique_ptr<wire::DeploymentVersion> mPendingDeployment;
   bool mStopped = false;
   std::atomic<bool> mExited{ false };
   std::vector<std::thread> mThreads;
--- a/src/edge/runtime_threads.cpp
+++ b/src/edge/runtime_threads.cpp
@@ -25,7 +25,7 @@
   }
 }
 
-void Runtime::FailDisk(const std::string& aReason)
+void Runtime::ReportDiskFailure(const std::string& aReason)
 {
   wire::Event event;
   event.mutable_sync_failed()->set_reason(aReason);
@@ -37,13 +37,13 @@
   for (const wire::Persist& persist : aBatch) {
     const Result<bool> written = mLog->Write(persist);
     if (!written) {
-      FailDisk(written.error().mMessage);
+      ReportDiskFailure(written.error().mMessage);
       return;
     }
   }
   const Result<bool> synced = mLog->Sync();
   if (!synced) {
-    FailDisk(synced.error().mMessage);
+    ReportDiskFailure(synced.error().mMessage);
     return;
   }
   wire::Event event;
@@ -51,31 +51,34 @@
   Post(std::move(event));
 }
 
-void Runtime::RunWriter()
+void Runtime::RunLogWriter()
 {
   std::unique_lock<std::mutex> lock(mThreadMutex);
   while (true) {
-    mWriteQueued.wait(lock, [this] { return !mWrites.empty() || mStopped; });
-    if (mWrites.empty()) {
+    mWriteQueued.wait(lock,
+                      [this] { return !mPendingWrites.empty() || mStopped; });
+    if (mPendingWrites.empty()) {
       return;
     }
     std::vector<wire::Persist> batch;
-    batch.swap(mWrites);
+    batch.swap(mPendingWrites);
     lock.unlock();
     WriteBatch(batch);
     lock.lock();
   }
 }
 
-void Runtime::RunCache()
+void Runtime::RunCacheWriter()
 {
   std::unique_lock<std::mutex> lock(mThreadMutex);
   while (true) {
-    mCacheQueued.wait(lock, [this] { return mCache != nullptr || mStopped; });
-    if (mCache == nullptr) {
+    mCacheQueued.wait(
+      lock, [this] { return mPendingDeployment != nullptr || mStopped; });
+    if (mPendingDeployment == nullptr) {
       return;
     }
-    const std::unique_ptr<wire::DeploymentVersion> version = std::move(mCache);
+    const std::unique_ptr<wire::DeploymentVersion> version =
+      std::move(mPendingDeployment);
     lock.unlock();
     const Result<bool> written =
       WriteCachedDeployment(mSettings.mDataFolder, *version);
