--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -20,21 +20,21 @@
 
 } // namespace
 
-/// \brief Messages to hosts that cannot be connected to yet.
+/// \brief Messaging between hosts: unreachable, blocked and idle peers.
 class PeersTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PeersTest);
-  CPPUNIT_TEST(PeerThatConnectedIsAnsweredWithoutAConnectBack);
-  CPPUNIT_TEST(ReaderThatStoodStillTakesAllThatCameMeanwhile);
-  CPPUNIT_TEST(ConnectionThatIsNoLongerUsedIsClosed);
-  CPPUNIT_TEST(MessageHasLeftAfterATurn);
-  CPPUNIT_TEST(SignalsDoNotEndTheThreadOfMessages);
+  CPPUNIT_TEST(MessageUsesTheConnectionThatThePeerOpened);
+  CPPUNIT_TEST(BlockedReceiverGetsAllQueuedMessages);
+  CPPUNIT_TEST(UnusedConnectionIsClosed);
+  CPPUNIT_TEST(QueueIsEmptyAfterAnIteration);
+  CPPUNIT_TEST(SignalsDoNotEndTheMessagingThread);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  // A loop that always has work lets the thread of messages pass: what was
-  // queued before has been handed to its connection then.
-  void MessageHasLeftAfterATurn()
+  // A busy event loop must let the messaging thread run: afterwards, all
+  // messages queued before have been handed to their connections.
+  void QueueIsEmptyAfterAnIteration()
   {
     Peers peers(FreeAddress(), [](std::string_view) {});
     for (int i = 0; i < 50; ++i) {
@@ -42,15 +42,15 @@
       CPPUNIT_ASSERT(peers.WaitForIteration(std::chrono::seconds(5)));
       (void)peers.TakeLongestQueueTime();
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
-      // Nothing is left to wait.
+      // No message is queued any more.
       CPPUNIT_ASSERT(peers.TakeLongestQueueTime() ==
                      std::chrono::microseconds(0));
     }
   }
 
-  // Nobody listens at the address that the peer goes by, as while a connect to
-  // a host that has just started still hangs.
-  void PeerThatConnectedIsAnsweredWithoutAConnectBack()
+  // Nothing listens on the peer's advertised address, as if a connect to a host
+  // that has just started still hung.
+  void MessageUsesTheConnectionThatThePeerOpened()
   {
     const std::string listen = FreeAddress();
     const std::string unreachable = FreeAddress();
@@ -80,9 +80,10 @@
     CPPUNIT_ASSERT_EQUAL(std::string("answer"), answer.to_string());
   }
 
-  // The connection is given up and made again while its queue is full: with a
-  // receive mark the library ends the process when the reader goes on.
-  void ReaderThatStoodStillTakesAllThatCameMeanwhile()
+  // The connection is dropped and reestablished while its queue is full. With a
+  // receive high-water mark, ZeroMQ aborts the process when the receiver
+  // continues.
+  void BlockedReceiverGetsAllQueuedMessages()
   {
     constexpr int kMessages = 3000;
     zmq::context_t context{ 1 };
@@ -106,7 +107,7 @@
     CPPUNIT_ASSERT(peer.recv(body, zmq::recv_flags::none));
     for (int i = 0; i < kMessages; ++i) {
       peer.send(zmq::buffer(own), zmq::send_flags::sndmore);
-      peer.send(zmq::buffer(std::string("word")), zmq::send_flags::none);
+      peer.send(zmq::buffer(std::string("message")), zmq::send_flags::none);
     }
     for (int wait = 0; wait < 500 && heard < kMessages; ++wait) {
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -114,8 +115,8 @@
     CPPUNIT_ASSERT_EQUAL(kMessages, heard.load());
   }
 
-  // A host speaks to few others at a time, but to many over its life.
-  void ConnectionThatIsNoLongerUsedIsClosed()
+  // A host talks to few others at a time, but to many over its lifetime.
+  void UnusedConnectionIsClosed()
   {
     Peers peers(
       FreeAddress(), [](std::string_view) {}, std::chrono::milliseconds(200));
@@ -131,8 +132,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), peers.OutgoingConnections());
   }
 
-  // Only the thread of messages takes the signal.
-  void SignalsDoNotEndTheThreadOfMessages()
+  // The test thread blocks the signal, so that the messaging thread receives
+  // it.
+  void SignalsDoNotEndTheMessagingThread()
   {
     struct sigaction ignore = {};
     struct sigaction before = {};
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -33,16 +33,16 @@
 class StorageTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(StorageTest);
-  CPPUNIT_TEST(LogWrittenAndReopenedHoldsTheSameEntries);
-  CPPUNIT_TEST(LogTornAtAnyByteKeepsWholeRecords);
-  CPPUNIT_TEST(BatchThatIsNotWholeIsDroppedAsAWhole);
-  CPPUNIT_TEST(WriteAfterARewindReplacesWhatWasNotSynced);
+  CPPUNIT_TEST(ReopenedLogHoldsTheWrittenEntries);
+  CPPUNIT_TEST(LogTruncatedAtAnyByteKeepsCompleteRecords);
+  CPPUNIT_TEST(DamagedLastBatchIsDroppedCompletely);
+  CPPUNIT_TEST(WriteAfterDiscardReplacesUnsyncedRecords);
   CPPUNIT_TEST(LogWithAnyCorruptByteInTheMiddleIsRefused);
   CPPUNIT_TEST(SnapshotWithAnyCorruptByteIsRefused);
   CPPUNIT_TEST(CrashBetweenSnapshotAndLogIsRepaired);
   CPPUNIT_TEST(WriteToAFullDiskIsAnError);
-  CPPUNIT_TEST(InitOfAnExistingDiskIsRefused);
-  CPPUNIT_TEST(IncarnationGrowsThoughTheClockFallsBack);
+  CPPUNIT_TEST(InitOfAnInitializedFolderIsRefused);
+  CPPUNIT_TEST(IncarnationGrowsWhenTheClockGoesBack);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -54,7 +54,7 @@
   }
   void tearDown() override { Poco::File(mFolder).remove(true); }
 
-  void LogWrittenAndReopenedHoldsTheSameEntries()
+  void ReopenedLogHoldsTheWrittenEntries()
   {
     Write({ EntryRecord(1), EntryRecord(2), EntryRecord(3) });
     Write({ Truncate(2), EntryRecord(2, 2) });
@@ -66,41 +66,41 @@
                          state.value().mHard.storage());
   }
 
-  void LogTornAtAnyByteKeepsWholeRecords()
+  void LogTruncatedAtAnyByteKeepsCompleteRecords()
   {
     Write({ EntryRecord(1) });
     Write({ EntryRecord(2) });
-    const std::string whole = Log();
+    const std::string whole = ReadLog();
     const std::string last = Frame(EntryRecord(2).SerializeAsString());
     for (std::size_t cut = 1; cut <= last.size(); ++cut) {
-      SetLog(whole.substr(0, whole.size() - cut));
+      ReplaceLog(whole.substr(0, whole.size() - cut));
       const auto state = Recover(mFolder);
       CPPUNIT_ASSERT(state);
       CPPUNIT_ASSERT_EQUAL(std::size_t(1), state.value().mEntries.size());
-      CPPUNIT_ASSERT_EQUAL(whole.size() - last.size(), Log().size());
+      CPPUNIT_ASSERT_EQUAL(whole.size() - last.size(), ReadLog().size());
     }
   }
 
-  // After a loss of power any part of an unsynced write may be missing, the
-  // beginning with the end still there.
-  void BatchThatIsNotWholeIsDroppedAsAWhole()
+  // After a power failure any part of an unsynced write may be missing, even
+  // its beginning while its end is present.
+  void DamagedLastBatchIsDroppedCompletely()
   {
     Write({ EntryRecord(1) });
-    const std::size_t before = Log().size();
+    const std::size_t before = ReadLog().size();
     Write({ EntryRecord(2), EntryRecord(3), EntryRecord(4) });
-    const std::string whole = Log();
+    const std::string whole = ReadLog();
     for (std::size_t at = before; at < whole.size(); ++at) {
-      std::string holed = whole;
-      holed[at] = static_cast<char>(holed[at] ^ 0x20);
-      SetLog(holed);
+      std::string damaged = whole;
+      damaged[at] = static_cast<char>(damaged[at] ^ 0x20);
+      ReplaceLog(damaged);
       const auto state = Recover(mFolder);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(at), state);
       CPPUNIT_ASSERT_EQUAL(std::size_t(1), state.value().mEntries.size());
-      CPPUNIT_ASSERT_EQUAL(before, Log().size());
+      CPPUNIT_ASSERT_EQUAL(before, ReadLog().size());
     }
   }
 
-  void WriteAfterARewindReplacesWhatWasNotSynced()
+  void WriteAfterDiscardReplacesUnsyncedRecords()
   {
     auto writer = LogWriter::Open(mFolder);
     CPPUNIT_ASSERT(writer);
@@ -124,12 +124,12 @@
     Write({ EntryRecord(1) });
     Write({ EntryRecord(2) });
     Write({ EntryRecord(3) });
-    const std::string whole = Log();
+    const std::string whole = ReadLog();
     const std::size_t last = Frame(EntryRecord(3).SerializeAsString()).size();
     for (std::size_t at = 0; at < whole.size() - last; ++at) {
       std::string bad = whole;
       bad[at] = static_cast<char>(bad[at] ^ 0x40);
-      SetLog(bad);
+      ReplaceLog(bad);
       const auto state = Recover(mFolder);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(at), !state);
       CPPUNIT_ASSERT(state.error().mCode == ErrorCode::Corrupt);
@@ -156,28 +156,29 @@
   {
     struct Case
     {
-      std::uint64_t mCovered;
+      std::uint64_t mSnapshotIndex;
       std::uint64_t mTerm;
-      std::size_t mKept;
+      std::size_t mExpectedEntries;
     };
     const Case cases[] = {
-      { 2, 1, 3 }, // the log holds the covered entry: all stay
-      { 3, 1, 3 }, // the log ends with it
-      { 5, 1, 0 }, // the log ends before it
-      { 2, 7, 0 }, // the log contradicts it
+      { 2, 1, 3 }, // the log contains the snapshot's entry
+      { 3, 1, 3 }, // the log ends with the snapshot's entry
+      { 5, 1, 0 }, // the log ends before the snapshot's entry
+      { 2, 7, 0 }, // the terms of log and snapshot differ
     };
     for (const Case& entry : cases) {
       tearDown();
       setUp();
       Write({ EntryRecord(1), EntryRecord(2), EntryRecord(3) });
       wire::Snapshot snapshot;
-      snapshot.set_index(entry.mCovered);
+      snapshot.set_index(entry.mSnapshotIndex);
       snapshot.set_term(entry.mTerm);
       CPPUNIT_ASSERT(
         ReplaceFile(mFolder, "snapshot", Frame(snapshot.SerializeAsString())));
       const auto state = Recover(mFolder);
       CPPUNIT_ASSERT(state);
-      CPPUNIT_ASSERT_EQUAL(entry.mKept, state.value().mEntries.size());
+      CPPUNIT_ASSERT_EQUAL(entry.mExpectedEntries,
+                           state.value().mEntries.size());
     }
   }
 
@@ -194,7 +195,7 @@
     CPPUNIT_ASSERT(written.error().mCode == ErrorCode::Io);
   }
 
-  void InitOfAnExistingDiskIsRefused()
+  void InitOfAnInitializedFolderIsRefused()
   {
     const auto again = InitFoundingHost(mFolder, wire::HostSettings());
     CPPUNIT_ASSERT(!again);
@@ -204,7 +205,7 @@
                          Recover(mFolder).value().mHard.storage());
   }
 
-  void IncarnationGrowsThoughTheClockFallsBack()
+  void IncarnationGrowsWhenTheClockGoesBack()
   {
     const std::uint64_t first = NextIncarnation(mFolder, 1000).value();
     CPPUNIT_ASSERT(NextIncarnation(mFolder, 500).value() > first);
@@ -228,8 +229,8 @@
     CPPUNIT_ASSERT(writer.value()->Write(aPersist));
     CPPUNIT_ASSERT(writer.value()->Sync());
   }
-  std::string Log() { return ReadFile(mFolder + "/log").value(); }
-  void SetLog(const std::string& aBytes)
+  std::string ReadLog() { return ReadFile(mFolder + "/log").value(); }
+  void ReplaceLog(const std::string& aBytes)
   {
     CPPUNIT_ASSERT(ReplaceFile(mFolder, "log", aBytes));
   }
