--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -39,7 +39,7 @@
   return ConnectionAction::KeepOpen;
 }
 
-std::string Query(const Call& aCall, const std::string& aName)
+std::string QueryParameter(const Call& aCall, const std::string& aName)
 {
   for (const auto& [name, value] :
        Poco::URI(aCall.mRequest.getURI()).getQueryParameters()) {
@@ -50,7 +50,7 @@
   return "";
 }
 
-std::uint64_t Number(const std::string& aText)
+std::uint64_t ParseNumber(const std::string& aText)
 {
   Poco::UInt64 number = 0;
   return Poco::NumberParser::tryParseUnsigned64(aText, number) ? number : 0;
@@ -70,7 +70,7 @@
   return body;
 }
 
-ConnectionAction Reply(Call& aCall, const wire::OperationAnswer& aAnswer)
+ConnectionAction SendResult(Call& aCall, const wire::OperationAnswer& aAnswer)
 {
   SendText(aCall, static_cast<int>(aAnswer.status()), kJson, aAnswer.body());
   return ConnectionAction::KeepOpen;
@@ -80,7 +80,7 @@
 {
   const std::string body = Body(aCall);
   const std::string token = TokenDigest(aCall.mRequest);
-  return Reply(
+  return SendResult(
     aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
       wire::OperatorApply& apply = *aEvent.mutable_apply();
       apply.set_operation(aId);
@@ -90,7 +90,7 @@
       apply.mutable_apply()->set_operator_name(
         aCall.mRequest.get("Geraniumpond-Operator", "operator"));
       apply.mutable_apply()->set_expected_version(
-        Number(aCall.mRequest.get("Geraniumpond-Expect-Version", "0")));
+        ParseNumber(aCall.mRequest.get("Geraniumpond-Expect-Version", "0")));
       apply.mutable_apply()->set_text(body);
     }));
 }
@@ -98,15 +98,15 @@
 ConnectionAction Drain(Runtime& aRuntime, Call& aCall)
 {
   const std::string token = TokenDigest(aCall.mRequest);
-  return Reply(
+  return SendResult(
     aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
       wire::OperatorDrain& drain = *aEvent.mutable_drain();
       drain.set_operation(aId);
       drain.set_token_sha256(token);
-      drain.set_what(Query(aCall, "what"));
-      drain.set_service(Query(aCall, "service"));
-      drain.set_id(Query(aCall, "id"));
-      drain.set_undrain(Query(aCall, "undrain") == "yes");
+      drain.set_what(QueryParameter(aCall, "what"));
+      drain.set_service(QueryParameter(aCall, "service"));
+      drain.set_id(QueryParameter(aCall, "id"));
+      drain.set_undrain(QueryParameter(aCall, "undrain") == "yes");
     }));
 }
 
@@ -126,8 +126,8 @@
     }
     Poco::Net::IPAddress address;
     return Poco::Net::IPAddress::tryParse(aText.substr(0, colon), address) &&
-           Number(aText.substr(colon + 1)) > 0 &&
-           Number(aText.substr(colon + 1)) < 65536;
+           ParseNumber(aText.substr(colon + 1)) > 0 &&
+           ParseNumber(aText.substr(colon + 1)) < 65536;
   } catch (const Poco::Exception&) {
     return false;
   }
@@ -178,14 +178,14 @@
   if (!IsName(aService) || !IsName(aId)) {
     return SendError(aCall, kBadRequest, "service and id must be names");
   }
-  const std::string fault = FillAnnounce(Body(aCall), announced);
-  if (!fault.empty()) {
-    return SendError(aCall, kBadRequest, fault);
+  const std::string error = FillAnnounce(Body(aCall), announced);
+  if (!error.empty()) {
+    return SendError(aCall, kBadRequest, error);
   }
   announced.set_service(aService);
   announced.set_id(aId);
   announced.set_token_sha256(TokenDigest(aCall.mRequest));
-  return Reply(
+  return SendResult(
     aCall,
     aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aOperation) {
       announced.set_operation(aOperation);
@@ -230,7 +230,8 @@
     { "/v1/config",
       true,
       [](S aState, V, C aCall, Micros) {
-        return views::Config(aState, Number(Query(aCall, "version")));
+        return views::Config(aState,
+                             ParseNumber(QueryParameter(aCall, "version")));
       } },
     { "/v1/burn",
       false,
--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -153,10 +153,11 @@
 
   void CheckCallerSocket(pollfd& aItem)
   {
-    const bool gone = (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    const bool disconnected =
+      (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
     // Pipelined data is no reason to stop; the socket is not polled again.
     aItem.fd = -1;
-    if (gone) {
+    if (disconnected) {
       wire::Event event;
       event.mutable_client_gone()->set_request(mDispatch.request());
       mContext.mRuntime.Post(std::move(event));
@@ -169,7 +170,7 @@
     AwaitHead();
     mSession->receiveResponse(mResponse);
     mEnd.set_status(static_cast<std::uint32_t>(mResponse.getStatus()));
-    *mEnd.mutable_load() = LoadOf(mResponse);
+    *mEnd.mutable_load() = ParseLoad(mResponse);
     const bool headOnly = mExchange->mRequest.mMethod == "HEAD";
     if (!mSession->StartBody(mResponse, headOnly)) {
       return;
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -19,7 +19,7 @@
 
 bool IsForwarded(const std::string& aName)
 {
-  static const std::vector<std::string> dropped = {
+  static const std::vector<std::string> excluded = {
     "connection",       "keep-alive",
     "proxy-connection", "te",
     "trailer",          "transfer-encoding",
@@ -29,7 +29,7 @@
   };
   const std::string name = Poco::toLower(aName);
   return name.rfind("geraniumpond-", 0) != 0 &&
-         std::find(dropped.begin(), dropped.end(), name) == dropped.end();
+         std::find(excluded.begin(), excluded.end(), name) == excluded.end();
 }
 
 std::vector<std::string> ConnectionHeaderNames(
@@ -55,11 +55,14 @@
   aOut.mMethod = request.getMethod();
   aOut.mUri = request.getURI();
   aOut.mClientSocket = aCall.mSession.socket().impl()->sockfd();
-  const std::vector<std::string> named = ConnectionHeaderNames(request);
+  const std::vector<std::string> connectionHeaders =
+    ConnectionHeaderNames(request);
   for (const auto& [name, value] : request) {
-    const bool hop =
-      std::find(named.begin(), named.end(), Poco::toLower(name)) != named.end();
-    if (IsForwarded(name) && !hop) {
+    const bool isHopByHop =
+      std::find(connectionHeaders.begin(),
+                connectionHeaders.end(),
+                Poco::toLower(name)) != connectionHeaders.end();
+    if (IsForwarded(name) && !isHopByHop) {
       aOut.mHeaders.emplace_back(name, value);
     }
   }
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -34,10 +34,10 @@
       mInbox.push_back(aEffect);
     }
   } else if (aEffect.has_dispatch() &&
-             (mBusy || aEffect.dispatch().buffer_answer())) {
+             (mThreadBusy || aEffect.dispatch().buffer_answer())) {
     mWorker(aEffect.dispatch());
   } else {
-    mBusy = mBusy || aEffect.has_dispatch();
+    mThreadBusy = mThreadBusy || aEffect.has_dispatch();
     mInbox.push_back(aEffect);
   }
   mChanged.notify_all();
@@ -46,7 +46,7 @@
 wire::Effect Exchange::WaitForEffect()
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  mBusy = !mInbox.empty() && mInbox.front().has_dispatch();
+  mThreadBusy = !mInbox.empty() && mInbox.front().has_dispatch();
   mChanged.wait(lock, [this] { return !mInbox.empty() || mFinished; });
   if (mInbox.empty()) {
     return wire::Effect();
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -107,7 +107,7 @@
   bool mAttemptsDropped = false;
   bool mCallerGone = false;
   /// Set while the request's own thread runs an attempt.
-  bool mBusy = false;
+  bool mThreadBusy = false;
   Worker mWorker;
   bool mCloseAfterResponse = false;
 };
--- a/src/edge/forwarding.cpp
+++ b/src/edge/forwarding.cpp
@@ -67,8 +67,9 @@
 {
   aResponse.setStatusAndReason(aFrom.getStatus(), aFrom.getReason());
   for (const auto& [name, value] : aFrom) {
-    const bool ours = Poco::icompare(name.substr(0, 13), "Geraniumpond-") == 0;
-    if (!IsHopByHop(name) && !ours) {
+    const bool isInternal =
+      Poco::icompare(name.substr(0, 13), "Geraniumpond-") == 0;
+    if (!IsHopByHop(name) && !isInternal) {
       aResponse.add(name, value);
     }
   }
@@ -78,7 +79,7 @@
   }
 }
 
-wire::LoadReport LoadOf(const HTTPResponse& aResponse)
+wire::LoadReport ParseLoad(const HTTPResponse& aResponse)
 {
   wire::LoadReport load;
   const std::string text = aResponse.get("Geraniumpond-Load", "");
--- a/src/edge/forwarding.h
+++ b/src/edge/forwarding.h
@@ -23,7 +23,8 @@
                         Poco::Net::HTTPResponse& aOut);
 
 /// \brief Parses the load that a target reports in a response header, if any.
-[[nodiscard]] wire::LoadReport LoadOf(const Poco::Net::HTTPResponse& aResponse);
+[[nodiscard]] wire::LoadReport ParseLoad(
+  const Poco::Net::HTTPResponse& aResponse);
 
 /// \brief True if a response continues the body at the requested offset.
 [[nodiscard]] bool RangeMatches(const Poco::Net::HTTPResponse& aResponse,
--- a/src/edge/host.cpp
+++ b/src/edge/host.cpp
@@ -51,12 +51,12 @@
   }
 }
 
-void ReportMalformed(Runtime& aRuntime, const RequestError& aFault)
+void ReportMalformed(Runtime& aRuntime, const RequestError& aError)
 {
-  WriteLog(0, "malformed request: " + aFault.mReason);
+  WriteLog(0, "malformed request: " + aError.mReason);
   wire::Event event;
   event.mutable_malformed()->set_status(
-    static_cast<std::uint32_t>(aFault.mStatus));
+    static_cast<std::uint32_t>(aError.mStatus));
   aRuntime.Post(std::move(event));
 }
 
@@ -70,8 +70,8 @@
   options.mHandler = [&aContext](Call& aCall) {
     return ServeCaller(aContext, aCall);
   };
-  options.mOnMalformed = [&aContext](const RequestError& aFault) {
-    ReportMalformed(aContext.mRuntime, aFault);
+  options.mOnMalformed = [&aContext](const RequestError& aError) {
+    ReportMalformed(aContext.mRuntime, aError);
   };
   return options;
 }
@@ -85,8 +85,8 @@
   options.mHandler = [&aRuntime](Call& aCall) {
     return ServeAdmin(aRuntime, aCall);
   };
-  options.mOnMalformed = [&aRuntime](const RequestError& aFault) {
-    ReportMalformed(aRuntime, aFault);
+  options.mOnMalformed = [&aRuntime](const RequestError& aError) {
+    ReportMalformed(aRuntime, aError);
   };
   return options;
 }
--- a/src/edge/http_server.cpp
+++ b/src/edge/http_server.cpp
@@ -142,9 +142,10 @@
       response.setVersion(request.getVersion());
       response.setKeepAlive(request.getKeepAlive() && aSession.canKeepAlive());
       Call call{ request, response, aSession };
-      const RequestError fault = CheckRequest(request, mOptions.mMaxBody());
-      if (fault.mStatus != 0) {
-        return Reject(call, fault);
+      const RequestError requestError =
+        CheckRequest(request, mOptions.mMaxBody());
+      if (requestError.mStatus != 0) {
+        return Reject(call, requestError);
       }
       if (request.getExpectContinue()) {
         response.sendContinue();
@@ -162,12 +163,12 @@
     }
   }
 
-  bool Reject(Call& aCall, const RequestError& aFault)
+  bool Reject(Call& aCall, const RequestError& aError)
   {
-    mOptions.mOnMalformed(aFault);
+    mOptions.mOnMalformed(aError);
     aCall.mResponse.setKeepAlive(false);
     aCall.mResponse.set("Geraniumpond-Outcome", "not-run");
-    SendText(aCall, aFault.mStatus, "text/plain", aFault.mReason + "\n");
+    SendText(aCall, aError.mStatus, "text/plain", aError.mReason + "\n");
     return false;
   }
 
--- a/src/edge/logging.cpp
+++ b/src/edge/logging.cpp
@@ -125,9 +125,9 @@
   bool TakeToken()
   {
     const auto now = std::chrono::steady_clock::now();
-    const std::chrono::duration<double> passed = now - mRefilled;
+    const std::chrono::duration<double> elapsed = now - mRefilled;
     mRefilled = now;
-    mTokens = std::min(kBurst, mTokens + passed.count() * kLinesPerSecond);
+    mTokens = std::min(kBurst, mTokens + elapsed.count() * kLinesPerSecond);
     if (mTokens < 1) {
       return false;
     }
--- a/src/edge/peers.cpp
+++ b/src/edge/peers.cpp
@@ -240,16 +240,16 @@
 }
 
 // Waits for two iterations: the current one may have begun before the call.
-bool Peers::WaitForIteration(std::chrono::microseconds aMost)
+bool Peers::WaitForIteration(std::chrono::microseconds aTimeout)
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  const std::uint64_t wanted = mIterations + 2;
+  const std::uint64_t target = mIterations + 2;
   Wake();
-  return mIterationDone.wait_for(lock, aMost, [&] {
-    if (mIterations + 1 == wanted) {
+  return mIterationDone.wait_for(lock, aTimeout, [&] {
+    if (mIterations + 1 == target) {
       Wake();
     }
-    return mIterations >= wanted || mStopping;
+    return mIterations >= target || mStopping;
   });
 }
 
@@ -277,7 +277,7 @@
     queue.swap(mQueue);
     RecordQueueTime(queue);
   }
-  for (const auto& [address, bytes, at] : queue) {
+  for (const auto& [address, bytes, queuedAt] : queue) {
     if (mSockets->SendOnIncoming(address, bytes)) {
       continue;
     }
@@ -298,8 +298,8 @@
       mSockets->CloseUnused(mUnusedTimeout);
       closeAt = Clock::now() + mUnusedTimeout / kChecksPerTimeout;
     }
-    zmq::message_t woken;
-    while (ReceiveNow(mSockets->mWakeIn, woken)) {
+    zmq::message_t wakeup;
+    while (ReceiveNow(mSockets->mWakeIn, wakeup)) {
     }
     SendQueued();
     mSockets->Receive([this](const zmq::message_t& aMessage) {
--- a/src/edge/peers.h
+++ b/src/edge/peers.h
@@ -59,8 +59,8 @@
   void Send(const std::string& aAddress, std::string aMessage);
 
   /// \brief Waits until the messaging thread has sent all queued messages and
-  /// handled all received ones; false if this takes longer than `aMost`.
-  bool WaitForIteration(std::chrono::microseconds aMost);
+  /// handled all received ones; false if this takes longer than `aTimeout`.
+  bool WaitForIteration(std::chrono::microseconds aTimeout);
 
   /// \brief Returns and resets the longest time that a message has been queued
   /// before it was handed to its connection.
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -106,10 +106,10 @@
   if (!mSettings.mControl) {
     return true;
   }
-  const Result<bool> made =
+  const Result<bool> initialized =
     InitJoiningHost(mSettings.mDataFolder, NewStorageName());
-  if (!made) {
-    return made.error();
+  if (!initialized) {
+    return initialized.error();
   }
   Result<StoredState> stored = Recover(mSettings.mDataFolder);
   if (!stored) {
@@ -120,7 +120,7 @@
              "log: removed an incomplete record of " +
                std::to_string(stored.value().mTruncatedBytes) + " bytes");
   }
-  *aStarted.mutable_hard_state() = stored.value().mHard;
+  *aStarted.mutable_hard_state() = stored.value().mHardState;
   *aStarted.mutable_snapshot() = stored.value().mSnapshot;
   for (wire::Entry& entry : stored.value().mEntries) {
     *aStarted.add_entries() = std::move(entry);
@@ -324,13 +324,13 @@
 
 void Runtime::UpdateMaxBody()
 {
-  std::uint64_t most = kDefaultMaxBody;
+  std::uint64_t largest = kDefaultMaxBody;
   for (const auto& [name, service] : mState.mDeployment.mServices) {
     for (const Kind& kind : service.mKinds) {
-      most = std::max(most, kind.mMaxBodyBytes);
+      largest = std::max(largest, kind.mMaxBodyBytes);
     }
   }
-  mMaxBody = most;
+  mMaxBody = largest;
 }
 
 bool Runtime::WaitExit(std::chrono::milliseconds aTimeout)
--- a/src/edge/storage.cpp
+++ b/src/edge/storage.cpp
@@ -78,14 +78,14 @@
 Result<bool> ApplyRecord(const wire::LogRecord& aRecord, StoredState& aOut)
 {
   if (aRecord.has_hard_state()) {
-    aOut.mHard = aRecord.hard_state();
+    aOut.mHardState = aRecord.hard_state();
     return true;
   }
   if (aRecord.has_batch()) {
     for (const wire::LogRecord& record : aRecord.batch().records()) {
-      Result<bool> taken = ApplyRecord(record, aOut);
-      if (!taken) {
-        return taken;
+      Result<bool> applied = ApplyRecord(record, aOut);
+      if (!applied) {
+        return applied;
       }
     }
     return true;
@@ -144,9 +144,9 @@
                                static_cast<int>(payload->size()))) {
       return Fail(ErrorCode::Corrupt, path + ": a record cannot be parsed");
     }
-    const Result<bool> taken = ApplyRecord(record, aOut);
-    if (!taken) {
-      return taken.error();
+    const Result<bool> applied = ApplyRecord(record, aOut);
+    if (!applied) {
+      return applied.error();
     }
     at += kHeaderBytes + payload->size();
   }
@@ -175,20 +175,21 @@
 Result<bool> ReconcileWithSnapshot(StoredState& aState)
 {
   std::vector<wire::Entry>& entries = aState.mEntries;
-  const std::uint64_t covered = aState.mSnapshot.index();
+  const std::uint64_t snapshotIndex = aState.mSnapshot.index();
   if (entries.empty()) {
     return true;
   }
-  if (entries.front().index() > covered + 1) {
+  if (entries.front().index() > snapshotIndex + 1) {
     return Fail(ErrorCode::Corrupt,
                 "entries between snapshot and log are missing");
   }
-  if (entries.back().index() < covered) {
+  if (entries.back().index() < snapshotIndex) {
     entries.clear();
     return true;
   }
   for (const wire::Entry& entry : entries) {
-    if (entry.index() == covered && entry.term() != aState.mSnapshot.term()) {
+    if (entry.index() == snapshotIndex &&
+        entry.term() != aState.mSnapshot.term()) {
       entries.clear();
       return true;
     }
@@ -241,9 +242,9 @@
   if (!log) {
     return log.error();
   }
-  const Result<bool> fits = ReconcileWithSnapshot(state);
-  if (!fits) {
-    return fits.error();
+  const Result<bool> reconciled = ReconcileWithSnapshot(state);
+  if (!reconciled) {
+    return reconciled.error();
   }
   return state;
 }
@@ -335,7 +336,8 @@
       continue;
     }
     if (count <= 0) {
-      return Fail(ErrorCode::Io, std::string("log: ") + std::strerror(errno));
+      return Fail(ErrorCode::Io,
+                  std::string("cannot write the log: ") + std::strerror(errno));
     }
     done += static_cast<std::size_t>(count);
   }
@@ -364,7 +366,8 @@
 Result<bool> LogWriter::Sync()
 {
   if (::fdatasync(mFile) != 0) {
-    return Fail(ErrorCode::Io, std::string("sync: ") + std::strerror(errno));
+    return Fail(ErrorCode::Io,
+                std::string("cannot sync the log: ") + std::strerror(errno));
   }
   mSyncedBytes = ::lseek(mFile, 0, SEEK_END);
   return true;
@@ -373,7 +376,9 @@
 Result<bool> LogWriter::DiscardUnsynced()
 {
   if (::ftruncate(mFile, mSyncedBytes) != 0) {
-    return Fail(ErrorCode::Io, std::string("rewind: ") + std::strerror(errno));
+    return Fail(ErrorCode::Io,
+                std::string("cannot discard unsynced records: ") +
+                  std::strerror(errno));
   }
   return true;
 }
--- a/src/edge/storage.h
+++ b/src/edge/storage.h
@@ -14,7 +14,7 @@
 /// \brief State read from a host's data folder at startup.
 struct StoredState
 {
-  wire::HardState mHard;
+  wire::HardState mHardState;
   wire::Snapshot mSnapshot;
   std::vector<wire::Entry> mEntries;
   /// Size of an incomplete last record that was removed from the log.
--- a/src/edge/target_client.cpp
+++ b/src/edge/target_client.cpp
@@ -135,7 +135,7 @@
 
 BodyRead TargetSession::ReadBody(char* aBuffer, std::size_t& aSize)
 {
-  const std::size_t room = aSize;
+  const std::size_t capacity = aSize;
   aSize = 0;
   if (mFraming == Framing::None ||
       (mFraming == Framing::Length && mRemaining == 0)) {
@@ -149,7 +149,7 @@
       return SkipTrailers() ? BodyRead::Done : BodyRead::Broken;
     }
   }
-  const auto wanted = std::min<std::uint64_t>(room, mRemaining);
+  const auto wanted = std::min<std::uint64_t>(capacity, mRemaining);
   const int count = read(aBuffer, static_cast<std::streamsize>(wanted));
   if (count <= 0) {
     return BodyRead::Broken;
--- a/src/frontend/disk_writer.cpp
+++ b/src/frontend/disk_writer.cpp
@@ -70,7 +70,7 @@
   }
   RecoveredDisk disk;
   disk.mTruncatedBytes = stored.value().mTruncatedBytes;
-  disk.mRecovered.mHard = stored.value().mHard;
+  disk.mRecovered.mHard = stored.value().mHardState;
   disk.mRecovered.mSnapshot = stored.value().mSnapshot;
   disk.mRecovered.mEntries = std::move(stored.value().mEntries);
   return disk;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), state.value().mEntries.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), state.value().mEntries[1].term());
     CPPUNIT_ASSERT_EQUAL(std::string("founding"),
-                         state.value().mHard.storage());
+                         state.value().mHardState.storage());
   }
 
   void LogTruncatedAtAnyByteKeepsCompleteRecords()
@@ -202,7 +202,7 @@
     CPPUNIT_ASSERT(again.error().mCode == ErrorCode::Conflict);
     CPPUNIT_ASSERT(InitJoiningHost(mFolder, "other"));
     CPPUNIT_ASSERT_EQUAL(std::string("founding"),
-                         Recover(mFolder).value().mHard.storage());
+                         Recover(mFolder).value().mHardState.storage());
   }
 
   void IncarnationGrowsWhenTheClockGoesBack()
