--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -28,7 +28,7 @@
 // An attempt with an idempotency key may run past its caller's deadline, so
 // that its outcome is known.
 constexpr Micros kKeyedGrace = 2 * kSecond;
-// Read timeout of a response body.
+// A response body that makes no progress for this long counts as broken off.
 constexpr Micros kBodyReadTimeout = 5 * kSecond;
 // Responses up to this size are read completely before any byte is forwarded.
 constexpr std::size_t kMaxBufferedResponse = 64 * 1024;
--- a/src/edge/files.cpp
+++ b/src/edge/files.cpp
@@ -16,9 +16,9 @@
 constexpr const char* kCacheFile = "deployment";
 constexpr mode_t kFileMode = 0600;
 
-Error SystemError(const std::string& aWhat)
+Error SystemError(const std::string& aContext)
 {
-  return Fail(ErrorCode::Io, aWhat + ": " + std::strerror(errno));
+  return Fail(ErrorCode::Io, aContext + ": " + std::strerror(errno));
 }
 
 bool WriteAll(int aFile, const std::string& aBytes)
@@ -92,10 +92,11 @@
                                       std::uint64_t aClock)
 {
   std::uint64_t next = aClock;
-  const Result<std::string> before = ReadFile(aFolder + "/" + kIncarnationFile);
-  if (before) {
+  const Result<std::string> previous =
+    ReadFile(aFolder + "/" + kIncarnationFile);
+  if (previous) {
     next = std::max<std::uint64_t>(
-      next, std::strtoull(before.value().c_str(), nullptr, 10) + 1);
+      next, std::strtoull(previous.value().c_str(), nullptr, 10) + 1);
   }
   const Result<bool> written =
     ReplaceFile(aFolder, kIncarnationFile, std::to_string(next));
--- a/src/edge/peers.cpp
+++ b/src/edge/peers.cpp
@@ -18,7 +18,7 @@
 constexpr int kReconnectMs = 30;
 constexpr int kReconnectMaxMs = 200;
 // A host that is powered off does not refuse connections: the connect hangs,
-// and messages would still wait for it when the host is back. A round trip
+// and until it times out, messages wait even if the host is back. A round trip
 // between regions takes 70 ms.
 constexpr int kConnectTimeoutMs = 100;
 constexpr int kLingerMs = 100;
@@ -123,7 +123,8 @@
       .first->second.mSocket;
   }
 
-  // Every loop iteration polls all connections, and each one sends heartbeats.
+  // Unused connections have a cost: every loop iteration polls them, and they
+  // keep sending heartbeats.
   void CloseUnused(std::chrono::milliseconds aUnusedTimeout)
   {
     const Clock::time_point now = Clock::now();
--- a/src/edge/storage.h
+++ b/src/edge/storage.h
@@ -35,7 +35,7 @@
   LogWriter& operator=(const LogWriter&) = delete;
   ~LogWriter();
 
-  /// \brief Writes records without syncing them to disk.
+  /// \brief Writes records without waiting for them to reach the disk.
   [[nodiscard]] Result<bool> Write(const wire::Persist& aPersist);
 
   /// \brief Discards what was written since the last sync, after a failure.
--- a/src/edge/target_client.h
+++ b/src/edge/target_client.h
@@ -74,7 +74,7 @@
 class SessionPool
 {
 public:
-  /// \brief Returns a connection that was used within `aMaxIdle`, or null.
+  /// \brief Returns an open connection last used within `aMaxIdle`, or null.
   [[nodiscard]] std::unique_ptr<TargetSession>
   Acquire(const std::string& aAddress, Micros aMaxIdle, Micros aNow);
   void Release(const std::string& aAddress,
