--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -23,7 +23,9 @@
 constexpr const char* kJson = "application/json";
 constexpr std::size_t kMaxName = 63;
 
-After SendError(Call& aCall, int aStatus, const std::string& aMessage)
+ConnectionAction SendError(Call& aCall,
+                           int aStatus,
+                           const std::string& aMessage)
 {
   Object object;
   object.set("error",
@@ -34,10 +36,10 @@
   std::ostringstream text;
   object.stringify(text);
   SendText(aCall, aStatus, kJson, text.str());
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-std::string Query(const Call& aCall, const std::string& aName)
+std::string QueryParameter(const Call& aCall, const std::string& aName)
 {
   for (const auto& [name, value] :
        Poco::URI(aCall.mRequest.getURI()).getQueryParameters()) {
@@ -48,7 +50,7 @@
   return "";
 }
 
-std::uint64_t Number(const std::string& aText)
+std::uint64_t ParseNumber(const std::string& aText)
 {
   Poco::UInt64 number = 0;
   return Poco::NumberParser::tryParseUnsigned64(aText, number) ? number : 0;
@@ -68,18 +70,18 @@
   return body;
 }
 
-After Reply(Call& aCall, const wire::OperationAnswer& aAnswer)
+ConnectionAction SendResult(Call& aCall, const wire::OperationAnswer& aAnswer)
 {
   SendText(aCall, static_cast<int>(aAnswer.status()), kJson, aAnswer.body());
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After Apply(Runtime& aRuntime, Call& aCall)
+ConnectionAction Apply(Runtime& aRuntime, Call& aCall)
 {
   const std::string body = Body(aCall);
   const std::string token = TokenDigest(aCall.mRequest);
-  return Reply(
-    aCall, aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aId) {
+  return SendResult(
+    aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
       wire::OperatorApply& apply = *aEvent.mutable_apply();
       apply.set_operation(aId);
       apply.set_token_sha256(token);
@@ -88,24 +90,24 @@
       apply.mutable_apply()->set_operator_name(
         aCall.mRequest.get("Geraniumpond-Operator", "operator"));
       apply.mutable_apply()->set_expected_version(
-        Number(aCall.mRequest.get("Geraniumpond-Expect-Version", "0")));
+        ParseNumber(aCall.mRequest.get("Geraniumpond-Expect-Version", "0")));
       apply.mutable_apply()->set_text(body);
     }));
 }
 
-After Drain(Runtime& aRuntime, Call& aCall)
+ConnectionAction Drain(Runtime& aRuntime, Call& aCall)
 {
   const std::string token = TokenDigest(aCall.mRequest);
-  return Reply(aCall,
-               aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aId) {
-                 wire::OperatorDrain& drain = *aEvent.mutable_drain();
-                 drain.set_operation(aId);
-                 drain.set_token_sha256(token);
-                 drain.set_what(Query(aCall, "what"));
-                 drain.set_service(Query(aCall, "service"));
-                 drain.set_id(Query(aCall, "id"));
-                 drain.set_undrain(Query(aCall, "undrain") == "yes");
-               }));
+  return SendResult(
+    aCall, aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aId) {
+      wire::OperatorDrain& drain = *aEvent.mutable_drain();
+      drain.set_operation(aId);
+      drain.set_token_sha256(token);
+      drain.set_what(QueryParameter(aCall, "what"));
+      drain.set_service(QueryParameter(aCall, "service"));
+      drain.set_id(QueryParameter(aCall, "id"));
+      drain.set_undrain(QueryParameter(aCall, "undrain") == "yes");
+    }));
 }
 
 bool IsName(const std::string& aText)
@@ -124,14 +126,14 @@
     }
     Poco::Net::IPAddress address;
     return Poco::Net::IPAddress::tryParse(aText.substr(0, colon), address) &&
-           Number(aText.substr(colon + 1)) > 0 &&
-           Number(aText.substr(colon + 1)) < 65536;
+           ParseNumber(aText.substr(colon + 1)) > 0 &&
+           ParseNumber(aText.substr(colon + 1)) < 65536;
   } catch (const Poco::Exception&) {
     return false;
   }
 }
 
-// Fills the event from the body; returns what is wrong, or nothing.
+// Fills the event from the body; returns an error message, empty on success.
 std::string FillAnnounce(const std::string& aBody, wire::TargetAnnounced& aOut)
 {
   try {
@@ -150,7 +152,7 @@
       aOut.mutable_load()->set_present(true);
     }
   } catch (const std::exception&) {
-    return "the body is not the JSON object of an announce";
+    return "the body is not a valid JSON object";
   }
   if (!IsAddress(aOut.address())) {
     return "address must be ip:port";
@@ -167,24 +169,25 @@
   return "";
 }
 
-After Announce(Runtime& aRuntime,
-               Call& aCall,
-               const std::string& aService,
-               const std::string& aId)
+ConnectionAction Announce(Runtime& aRuntime,
+                          Call& aCall,
+                          const std::string& aService,
+                          const std::string& aId)
 {
   wire::TargetAnnounced announced;
   if (!IsName(aService) || !IsName(aId)) {
     return SendError(aCall, kBadRequest, "service and id must be names");
   }
-  const std::string fault = FillAnnounce(Body(aCall), announced);
-  if (!fault.empty()) {
-    return SendError(aCall, kBadRequest, fault);
+  const std::string error = FillAnnounce(Body(aCall), announced);
+  if (!error.empty()) {
+    return SendError(aCall, kBadRequest, error);
   }
   announced.set_service(aService);
   announced.set_id(aId);
   announced.set_token_sha256(TokenDigest(aCall.mRequest));
-  return Reply(
-    aCall, aRuntime.Operate([&](wire::Event& aEvent, std::uint64_t aOperation) {
+  return SendResult(
+    aCall,
+    aRuntime.RunOperation([&](wire::Event& aEvent, std::uint64_t aOperation) {
       announced.set_operation(aOperation);
       *aEvent.mutable_announced() = announced;
     }));
@@ -227,7 +230,8 @@
     { "/v1/config",
       true,
       [](S aState, V, C aCall, Micros) {
-        return views::Config(aState, Number(Query(aCall, "version")));
+        return views::Config(aState,
+                             ParseNumber(QueryParameter(aCall, "version")));
       } },
     { "/v1/burn",
       false,
@@ -238,7 +242,9 @@
   return routes;
 }
 
-After Show(Runtime& aRuntime, Call& aCall, const ViewRoute& aRoute)
+ConnectionAction ServeView(Runtime& aRuntime,
+                           Call& aCall,
+                           const ViewRoute& aRoute)
 {
   const std::string token = TokenDigest(aCall.mRequest);
   bool allowed = false;
@@ -250,13 +256,14 @@
       return allowed ? aRoute.mView(aState, viewer, aCall, aNow) : "";
     });
   if (!allowed) {
-    return SendError(aCall, kUnauthorized, "a token that may see this");
+    return SendError(
+      aCall, kUnauthorized, "the token does not permit this request");
   }
   SendText(aCall, kOk, kJson, body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After Health(Runtime& aRuntime, Call& aCall, bool aReadiness)
+ConnectionAction Health(Runtime& aRuntime, Call& aCall, bool aReadiness)
 {
   bool ready = false;
   const std::string body =
@@ -265,7 +272,7 @@
       return views::Health(aState);
     });
   SendText(aCall, ready || !aReadiness ? kOk : kUnavailable, kJson, body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 std::vector<std::string> Segments(const Call& aCall)
@@ -277,7 +284,7 @@
 
 } // namespace
 
-After ServeAdmin(Runtime& aRuntime, Call& aCall)
+ConnectionAction ServeAdmin(Runtime& aRuntime, Call& aCall)
 {
   const std::string path = Poco::URI(aCall.mRequest.getURI()).getPath();
   const std::string& method = aCall.mRequest.getMethod();
@@ -303,11 +310,11 @@
         return views::Metrics(aState, aNow);
       });
     SendText(aCall, kOk, "text/plain; version=0.0.4", body);
-    return After::KeepOpen;
+    return ConnectionAction::KeepOpen;
   }
   for (const ViewRoute& route : ViewRoutes()) {
     if (path == route.mPath) {
-      return Show(aRuntime, aCall, route);
+      return ServeView(aRuntime, aCall, route);
     }
   }
   return SendError(aCall, kNotFound, "unknown path");
--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -22,35 +22,38 @@
 using Poco::Net::HTTPResponse;
 
 constexpr Micros kConnectTimeout = kSecond;
-// The reducer's deadline comes first; this one only frees the thread.
-constexpr Micros kBackstop = 100 * kMillisecond;
-// A keyed attempt outlives its caller's deadline, so that its end is known.
+// Margin after the deadline that the reducer enforces; it only makes sure that
+// the thread is released.
+constexpr Micros kDeadlineMargin = 100 * kMillisecond;
+// An attempt with an idempotency key may run past its caller's deadline, so
+// that its outcome is known.
 constexpr Micros kKeyedGrace = 2 * kSecond;
-// A body that makes no progress for this long is broken.
-constexpr Micros kBodySilence = 5 * kSecond;
-// Answers up to this size are read whole before the caller gets a byte.
-constexpr std::size_t kWholeFirst = 64 * 1024;
-constexpr std::size_t kMaxKeyedAnswer = 256 * 1024;
+// A response body that makes no progress for this long counts as broken off.
+constexpr Micros kBodyReadTimeout = 5 * kSecond;
+// Responses up to this size are read completely before any byte is forwarded.
+constexpr std::size_t kMaxBufferedResponse = 64 * 1024;
+constexpr std::size_t kMaxRecordedResponse = 256 * 1024;
 constexpr std::size_t kBufferBytes = 64 * 1024;
 constexpr int kUnavailable = 503;
 constexpr std::uint32_t kBadGateway = 502;
 
-// Made once a thread: filling it anew would cost more than most answers.
+// One buffer per thread: clearing a new one for each response would cost more
+// than copying most responses.
 std::string& ThreadBuffer()
 {
   thread_local std::string buffer(kBufferBytes, '\0');
   return buffer;
 }
 
-/// One attempt, from its connection to its last byte.
+/// Runs one attempt, from connecting to the last byte of the response.
 class AttemptRun
 {
 public:
-  AttemptRun(AttemptTools& aTools,
+  AttemptRun(AttemptContext& aContext,
              const std::shared_ptr<Exchange>& aExchange,
              Call* aCall,
              const wire::Dispatch& aDispatch)
-    : mTools(aTools)
+    : mContext(aContext)
     , mExchange(aExchange)
     , mCall(aCall)
     , mDispatch(aDispatch)
@@ -64,16 +67,16 @@
   {
     try {
       if (Connect()) {
-        Converse();
+        PerformRequest();
       }
     } catch (const Poco::TimeoutException&) {
       mEnd.set_end(mSent ? wire::END_TIMED_OUT : wire::END_NOT_SENT);
-      mTools.mPool.Suspect(mDispatch.address());
+      mContext.mPool.CloseIdle(mDispatch.address());
     } catch (const std::exception&) {
-      NoteBreak();
+      RecordFailure();
     }
-    mExchange->Detach(mDispatch.attempt());
-    GiveBack();
+    mExchange->DetachSocket(mDispatch.attempt());
+    ReturnConnection();
     PostEnd();
   }
 
@@ -81,15 +84,15 @@
   [[nodiscard]] Micros Remaining() const
   {
     const Micros grace =
-      kBackstop + (mDispatch.buffer_answer() ? kKeyedGrace : 0);
-    return mDispatch.deadline_us() + grace - mTools.mRuntime.Now();
+      kDeadlineMargin + (mDispatch.buffer_answer() ? kKeyedGrace : 0);
+    return mDispatch.deadline_us() + grace - mContext.mRuntime.Now();
   }
 
   bool Connect()
   {
-    const Micros now = mTools.mRuntime.Now();
+    const Micros now = mContext.mRuntime.Now();
     mSession =
-      mTools.mPool.Take(mDispatch.address(), mDispatch.max_idle_us(), now);
+      mContext.mPool.Acquire(mDispatch.address(), mDispatch.max_idle_us(), now);
     if (mSession == nullptr) {
       const Poco::Net::SocketAddress address(mDispatch.address());
       mSession = std::make_unique<TargetSession>(address.host().toString(),
@@ -98,7 +101,7 @@
         std::max<Micros>(std::min(kConnectTimeout, Remaining()), 1));
       mEnd.set_new_connection(true);
     }
-    if (!mExchange->Attach(mDispatch.attempt(), mSession->socket())) {
+    if (!mExchange->AttachSocket(mDispatch.attempt(), mSession->socket())) {
       mEnd.set_end(wire::END_NOT_SENT);
       return false;
     }
@@ -109,10 +112,10 @@
   {
     const CallerRequest& from = mExchange->mRequest;
     HTTPRequest request(from.mMethod, from.mUri, HTTPMessage::HTTP_1_1);
-    FillTargetRequest(from, mDispatch, mTools.mRuntime.Now(), request);
+    FillTargetRequest(from, mDispatch, mContext.mRuntime.Now(), request);
     mSession->setTimeout(
       Poco::Timespan(std::max<Micros>(Remaining(), kMillisecond)));
-    // From here on the kernel may have bytes of it.
+    // From here on, part of the request may have been transmitted.
     mSent = true;
     mEnd.set_end(wire::END_BROKEN_BEFORE_HEAD);
     std::ostream& body = mSession->sendRequest(request);
@@ -122,7 +125,8 @@
     mSession->flushRequest();
   }
 
-  // Waits for the target; tells the reducer when the caller goes away first.
+  // Waits for the response head; posts an event if the caller disconnects
+  // first.
   void AwaitHead()
   {
     pollfd items[2] = {
@@ -134,7 +138,7 @@
     while (true) {
       const Micros left = Remaining();
       if (left <= 0) {
-        throw Poco::TimeoutException("deadline");
+        throw Poco::TimeoutException("attempt deadline exceeded");
       }
       const int ready =
         ::poll(items, 2, static_cast<int>(left / kMillisecond) + 1);
@@ -142,40 +146,41 @@
         return;
       }
       if (ready > 0 && items[1].revents != 0) {
-        WatchCaller(items[1]);
+        CheckCallerSocket(items[1]);
       }
     }
   }
 
-  void WatchCaller(pollfd& aItem)
+  void CheckCallerSocket(pollfd& aItem)
   {
-    const bool gone = (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-    // Pipelined bytes are no reason to stop, and are not looked at again.
+    const bool disconnected =
+      (aItem.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    // Pipelined data is no reason to stop; the socket is not polled again.
     aItem.fd = -1;
-    if (gone) {
+    if (disconnected) {
       wire::Event event;
       event.mutable_client_gone()->set_request(mDispatch.request());
-      mTools.mRuntime.Post(std::move(event));
+      mContext.mRuntime.Post(std::move(event));
     }
   }
 
-  void Converse()
+  void PerformRequest()
   {
     SendRequest();
     AwaitHead();
     mSession->receiveResponse(mResponse);
     mEnd.set_status(static_cast<std::uint32_t>(mResponse.getStatus()));
-    *mEnd.mutable_load() = LoadOf(mResponse);
+    *mEnd.mutable_load() = ParseLoad(mResponse);
     const bool headOnly = mExchange->mRequest.mMethod == "HEAD";
     if (!mSession->StartBody(mResponse, headOnly)) {
       return;
     }
-    mSession->setTimeout(Poco::Timespan(kBodySilence));
+    mSession->setTimeout(Poco::Timespan(kBodyReadTimeout));
     const bool refused =
       mResponse.getStatus() == kUnavailable &&
       Poco::icompare(mResponse.get("Geraniumpond-Not-Run", ""), "yes") == 0;
     if (refused) {
-      ReadWhole(kWholeFirst);
+      ReadUpTo(kMaxBufferedResponse);
       mEnd.set_end(wire::END_REFUSED);
       return;
     }
@@ -183,11 +188,11 @@
       BufferAnswer();
       return;
     }
-    PassOn();
+    ForwardResponse();
   }
 
-  /// Reads up to a limit; true when the body ended within it.
-  bool ReadWhole(std::size_t aLimit)
+  /// Reads up to a limit; returns true if the body ended within it.
+  bool ReadUpTo(std::size_t aLimit)
   {
     std::string& buffer = ThreadBuffer();
     while (mBody.size() < aLimit) {
@@ -199,7 +204,7 @@
         return true;
       }
       if (read == BodyRead::Broken) {
-        throw Poco::Net::NetException("body broken");
+        throw Poco::Net::NetException("response body ended early");
       }
     }
     return false;
@@ -210,14 +215,14 @@
     wire::StoredAnswer answer;
     answer.set_status(static_cast<std::uint32_t>(mResponse.getStatus()));
     answer.set_content_type(mResponse.getContentType());
-    if (!ReadWhole(kMaxKeyedAnswer)) {
-      // It ran, but its answer is larger than a record may be.
+    if (!ReadUpTo(kMaxRecordedResponse)) {
+      // The request ran, but its response is too large to be recorded.
       answer.set_status(kBadGateway);
       answer.set_content_type("text/plain");
-      mBody = "answer too large to record\n";
+      mBody = "response too large to record\n";
     }
     answer.set_body(mBody);
-    mExchange->KeepAnswer(mDispatch.attempt(), answer);
+    mExchange->StoreAnswer(mDispatch.attempt(), answer);
     *mEnd.mutable_answer() = std::move(answer);
     mEnd.set_end(wire::END_COMPLETE);
   }
@@ -231,23 +236,24 @@
     head.set_status(mEnd.status());
     *head.mutable_load() = mEnd.load();
     const std::string etag = mResponse.get("ETag", "");
-    // A weak validator proves nothing about bytes.
+    // A weak validator does not guarantee identical bytes.
     if (etag.rfind("W/", 0) != 0 &&
         mResponse.get("Accept-Ranges", "") == "bytes") {
       head.set_strong_etag(etag);
     }
     head.set_range_matches(RangeMatches(mResponse, mDispatch));
-    mTools.mRuntime.Post(std::move(event));
+    mContext.mRuntime.Post(std::move(event));
   }
 
-  void PassOn()
+  void ForwardResponse()
   {
-    // A small answer that breaks has reached nobody, and can be tried again.
+    // If a small response breaks off, none of it has reached the caller, so the
+    // request can be retried.
     const bool small =
       mResponse.hasContentLength() &&
-      mResponse.getContentLength64() <= static_cast<int>(kWholeFirst);
+      mResponse.getContentLength64() <= static_cast<int>(kMaxBufferedResponse);
     if (small) {
-      ReadWhole(kWholeFirst + 1);
+      ReadUpTo(kMaxBufferedResponse + 1);
     }
     PostHead();
     if (!mExchange->AwaitDecision(mDispatch.attempt())) {
@@ -269,20 +275,20 @@
   {
     Poco::Net::HTTPServerResponseImpl& response = mCall->mResponse;
     FillCallerResponse(mResponse, mBodyDone, response);
-    if (mExchange->CloseAfter()) {
+    if (mExchange->CloseAfterResponse()) {
       response.setKeepAlive(false);
     }
     mExchange->mHeadSent = true;
     try {
       if (mBodyDone && mExchange->mRequest.mMethod != "HEAD") {
         response.sendBuffer(mBody.data(), mBody.size());
-        mExchange->mDelivered = mBody.size();
+        mExchange->mDeliveredBytes = mBody.size();
       } else {
         mExchange->mClientStream = &response.send();
         mExchange->mClientStream->flush();
       }
     } catch (const Poco::Exception&) {
-      mCallerBroke = true;
+      mSendToCallerFailed = true;
       throw;
     }
   }
@@ -302,7 +308,7 @@
         mEnd.set_end(wire::END_CLIENT_GONE);
         return;
       }
-      mExchange->mDelivered += size;
+      mExchange->mDeliveredBytes += size;
       if (read == BodyRead::Done) {
         out.flush();
         mBodyDone = true;
@@ -312,37 +318,37 @@
     }
   }
 
-  void NoteBreak()
+  void RecordFailure()
   {
-    if (mCallerBroke) {
+    if (mSendToCallerFailed) {
       mEnd.set_end(wire::END_CLIENT_GONE);
     }
   }
 
-  void GiveBack()
+  void ReturnConnection()
   {
     if (mSession != nullptr && mBodyDone &&
         (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_REFUSED)) {
-      mTools.mPool.Give(
-        mDispatch.address(), std::move(mSession), mTools.mRuntime.Now());
+      mContext.mPool.Release(
+        mDispatch.address(), std::move(mSession), mContext.mRuntime.Now());
     }
   }
 
   void PostEnd()
   {
-    mEnd.set_delivered_bytes(mExchange->mDelivered);
+    mEnd.set_delivered_bytes(mExchange->mDeliveredBytes);
     const bool finished =
       !mDispatch.buffer_answer() &&
       (mEnd.end() == wire::END_COMPLETE || mEnd.end() == wire::END_CLIENT_GONE);
     wire::Event event;
     *event.mutable_ended() = mEnd;
-    mTools.mRuntime.Post(std::move(event));
+    mContext.mRuntime.Post(std::move(event));
     if (finished) {
       mExchange->Finish(mEnd.end() == wire::END_CLIENT_GONE);
     }
   }
 
-  AttemptTools& mTools;
+  AttemptContext& mContext;
   std::shared_ptr<Exchange> mExchange;
   Call* mCall;
   wire::Dispatch mDispatch;
@@ -352,36 +358,36 @@
   std::string mBody;
   bool mBodyDone = false;
   bool mSent = false;
-  bool mCallerBroke = false;
+  bool mSendToCallerFailed = false;
 };
 
 } // namespace
 
-void RunningCount::Add()
+void RunningAttempts::Add()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   ++mCount;
 }
 
-void RunningCount::Done()
+void RunningAttempts::Done()
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   --mCount;
-  mNone.notify_all();
+  mAllDone.notify_all();
 }
 
-void RunningCount::WaitNone()
+void RunningAttempts::WaitForAll()
 {
   std::unique_lock<std::mutex> lock(mMutex);
-  mNone.wait(lock, [this] { return mCount == 0; });
+  mAllDone.wait(lock, [this] { return mCount == 0; });
 }
 
-void RunAttempt(AttemptTools& aTools,
+void RunAttempt(AttemptContext& aContext,
                 const std::shared_ptr<Exchange>& aExchange,
                 Call* aCall,
                 const wire::Dispatch& aDispatch)
 {
-  AttemptRun(aTools, aExchange, aCall, aDispatch).Run();
+  AttemptRun(aContext, aExchange, aCall, aDispatch).Run();
 }
 
 void SendStored(Call& aCall,
--- a/src/edge/callers.cpp
+++ b/src/edge/callers.cpp
@@ -19,7 +19,7 @@
 
 bool IsForwarded(const std::string& aName)
 {
-  static const std::vector<std::string> dropped = {
+  static const std::vector<std::string> excluded = {
     "connection",       "keep-alive",
     "proxy-connection", "te",
     "trailer",          "transfer-encoding",
@@ -29,10 +29,10 @@
   };
   const std::string name = Poco::toLower(aName);
   return name.rfind("geraniumpond-", 0) != 0 &&
-         std::find(dropped.begin(), dropped.end(), name) == dropped.end();
+         std::find(excluded.begin(), excluded.end(), name) == excluded.end();
 }
 
-std::vector<std::string> NamedByConnection(
+std::vector<std::string> ConnectionHeaderNames(
   const Poco::Net::HTTPServerRequestImpl& aRequest)
 {
   std::vector<std::string> names;
@@ -55,11 +55,14 @@
   aOut.mMethod = request.getMethod();
   aOut.mUri = request.getURI();
   aOut.mClientSocket = aCall.mSession.socket().impl()->sockfd();
-  const std::vector<std::string> named = NamedByConnection(request);
+  const std::vector<std::string> connectionHeaders =
+    ConnectionHeaderNames(request);
   for (const auto& [name, value] : request) {
-    const bool hop =
-      std::find(named.begin(), named.end(), Poco::toLower(name)) != named.end();
-    if (IsForwarded(name) && !hop) {
+    const bool isHopByHop =
+      std::find(connectionHeaders.begin(),
+                connectionHeaders.end(),
+                Poco::toLower(name)) != connectionHeaders.end();
+    if (IsForwarded(name) && !isHopByHop) {
       aOut.mHeaders.emplace_back(name, value);
     }
   }
@@ -80,7 +83,7 @@
   return Poco::NumberParser::tryParseUnsigned(text, deadline) ? deadline : 0;
 }
 
-wire::Event Arrival(const Call& aCall, const Exchange& aExchange)
+wire::Event MakeArrivalEvent(const Call& aCall, const Exchange& aExchange)
 {
   const CallerRequest& request = aExchange.mRequest;
   wire::Event event;
@@ -99,7 +102,7 @@
   return event;
 }
 
-After WriteAnswer(Call& aCall, const wire::Answer& aAnswer)
+ConnectionAction WriteAnswer(Call& aCall, const wire::Answer& aAnswer)
 {
   Poco::Net::HTTPServerResponseImpl& response = aCall.mResponse;
   if (aAnswer.close_connection()) {
@@ -107,7 +110,7 @@
   }
   if (aAnswer.has_stored()) {
     SendStored(aCall, aAnswer.stored(), aAnswer.outcome());
-    return After::KeepOpen;
+    return ConnectionAction::KeepOpen;
   }
   response.set("Geraniumpond-Outcome", aAnswer.outcome());
   if (aAnswer.retry_after_ms() > 0) {
@@ -122,59 +125,63 @@
            static_cast<int>(aAnswer.status()),
            "text/plain",
            aAnswer.reason() + "\n");
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-After WriteKept(Call& aCall, Exchange& aExchange, std::uint64_t aAttempt)
+ConnectionAction WriteBufferedAnswer(Call& aCall,
+                                     Exchange& aExchange,
+                                     std::uint64_t aAttempt)
 {
-  if (aExchange.CloseAfter()) {
+  if (aExchange.CloseAfterResponse()) {
     aCall.mResponse.setKeepAlive(false);
   }
   SendStored(aCall, aExchange.TakeAnswer(aAttempt), "ran");
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
-void RunOnWorker(AttemptTools& aTools,
+void RunOnWorker(AttemptContext& aContext,
                  const std::shared_ptr<Exchange>& aExchange,
                  Call* aCall,
                  const wire::Dispatch& aDispatch)
 {
-  std::thread([&aTools, aExchange, aCall, aDispatch] {
-    RunAttempt(aTools, aExchange, aCall, aDispatch);
-    aTools.mRunning.Done();
+  std::thread([&aContext, aExchange, aCall, aDispatch] {
+    RunAttempt(aContext, aExchange, aCall, aDispatch);
+    aContext.mRunning.Done();
   }).detach();
 }
 
-After Serve(AttemptTools& aTools,
-            Call& aCall,
-            const std::shared_ptr<Exchange>& aExchange)
+ConnectionAction Serve(AttemptContext& aContext,
+                       Call& aCall,
+                       const std::shared_ptr<Exchange>& aExchange)
 {
-  aExchange->SetWorker([&aTools,
+  aExchange->SetWorker([&aContext,
                         weak = std::weak_ptr<Exchange>(aExchange),
                         &aCall](const wire::Dispatch& aDispatch) {
-    aTools.mRunning.Add();
-    RunOnWorker(aTools, weak.lock(), &aCall, aDispatch);
+    aContext.mRunning.Add();
+    RunOnWorker(aContext, weak.lock(), &aCall, aDispatch);
   });
-  aTools.mRuntime.Post(Arrival(aCall, *aExchange));
+  aContext.mRuntime.Post(MakeArrivalEvent(aCall, *aExchange));
   while (true) {
-    const wire::Effect effect = aExchange->Next();
+    const wire::Effect effect = aExchange->WaitForEffect();
     switch (effect.body_case()) {
       case wire::Effect::kDispatch:
-        RunAttempt(aTools, aExchange, &aCall, effect.dispatch());
+        RunAttempt(aContext, aExchange, &aCall, effect.dispatch());
         break;
       case wire::Effect::kAnswer:
         return WriteAnswer(aCall, effect.answer());
       case wire::Effect::kAccept:
-        return WriteKept(aCall, *aExchange, effect.accept().attempt());
+        return WriteBufferedAnswer(
+          aCall, *aExchange, effect.accept().attempt());
       case wire::Effect::kBreakConnection:
-        return After::Break;
+        return ConnectionAction::Break;
       default:
-        return aExchange->CallerGone() ? After::Break : After::KeepOpen;
+        return aExchange->CallerGone() ? ConnectionAction::Break
+                                       : ConnectionAction::KeepOpen;
     }
   }
 }
 
-After ServeEntries(AttemptTools& aTools, Call& aCall)
+ConnectionAction ServeEntries(AttemptContext& aContext, Call& aCall)
 {
   std::string service;
   for (const auto& [name, value] :
@@ -184,32 +191,32 @@
     }
   }
   const std::string body =
-    aTools.mRuntime.Read([&](const node::State& aState, Micros) {
+    aContext.mRuntime.Read([&](const node::State& aState, Micros) {
       return views::Entries(aState, service);
     });
   SendText(aCall, 200, "application/json", body);
-  return After::KeepOpen;
+  return ConnectionAction::KeepOpen;
 }
 
 } // namespace
 
-After ServeCaller(AttemptTools& aTools, Call& aCall)
+ConnectionAction ServeCaller(AttemptContext& aContext, Call& aCall)
 {
   if (aCall.mRequest.getURI().rfind(kEntriesPath, 0) == 0) {
-    return ServeEntries(aTools, aCall);
+    return ServeEntries(aContext, aCall);
   }
-  const std::shared_ptr<Exchange> exchange = aTools.mRuntime.NewExchange();
-  After after = After::Break;
+  const std::shared_ptr<Exchange> exchange = aContext.mRuntime.NewExchange();
+  ConnectionAction action = ConnectionAction::Break;
   try {
-    // A request that was cut short is not a request.
+    // A request with a truncated body is dropped.
     if (ReadRequest(aCall, exchange->mRequest)) {
-      after = Serve(aTools, aCall, exchange);
+      action = Serve(aContext, aCall, exchange);
     }
   } catch (const Poco::Exception&) {
-    after = After::Break;
+    action = ConnectionAction::Break;
   }
-  aTools.mRuntime.EndExchange(exchange);
-  return after;
+  aContext.mRuntime.EndExchange(exchange);
+  return action;
 }
 
 } // namespace geraniumpond::edge
--- a/src/edge/callers.h
+++ b/src/edge/callers.h
@@ -4,7 +4,9 @@
 
 namespace geraniumpond::edge {
 
-/// \brief Serves one request of a caller: events in, effects performed.
-[[nodiscard]] After ServeCaller(AttemptTools& aTools, Call& aCall);
+/// \brief Serves one request of a caller: posts it to the reducer and performs
+/// the resulting effects.
+[[nodiscard]] ConnectionAction ServeCaller(AttemptContext& aContext,
+                                           Call& aCall);
 
 } // namespace geraniumpond::edge
--- a/src/edge/host.cpp
+++ b/src/edge/host.cpp
@@ -28,7 +28,8 @@
   return signals;
 }
 
-// Every thread inherits the mask, so that only WaitForStop() takes signals.
+// All threads inherit the mask, so that only WaitForStop() receives the
+// signals.
 void BlockSignals()
 {
   const sigset_t signals = StopSignals();
@@ -36,7 +37,7 @@
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-// A second signal changes nothing: a stop is never cut short silently.
+// A second signal does not abort a graceful shutdown.
 void WaitForStop(Runtime& aRuntime)
 {
   const sigset_t signals = StopSignals();
@@ -50,27 +51,27 @@
   }
 }
 
-void NoteMalformed(Runtime& aRuntime, const Malformed& aFault)
+void ReportMalformed(Runtime& aRuntime, const RequestError& aError)
 {
-  WriteLog(0, "malformed request: " + aFault.mReason);
+  WriteLog(0, "malformed request: " + aError.mReason);
   wire::Event event;
   event.mutable_malformed()->set_status(
-    static_cast<std::uint32_t>(aFault.mStatus));
+    static_cast<std::uint32_t>(aError.mStatus));
   aRuntime.Post(std::move(event));
 }
 
 HttpListener::Options CallerOptions(const Settings& aSettings,
-                                    AttemptTools& aTools)
+                                    AttemptContext& aContext)
 {
   HttpListener::Options options;
   options.mAddress = aSettings.mCallerAddress;
   options.mMaxConnections = aSettings.mMaxConnections;
-  options.mMaxBody = [&aTools] { return aTools.mRuntime.MaxBodyBytes(); };
-  options.mHandler = [&aTools](Call& aCall) {
-    return ServeCaller(aTools, aCall);
+  options.mMaxBody = [&aContext] { return aContext.mRuntime.MaxBodyBytes(); };
+  options.mHandler = [&aContext](Call& aCall) {
+    return ServeCaller(aContext, aCall);
   };
-  options.mOnMalformed = [&aTools](const Malformed& aFault) {
-    NoteMalformed(aTools.mRuntime, aFault);
+  options.mOnMalformed = [&aContext](const RequestError& aError) {
+    ReportMalformed(aContext.mRuntime, aError);
   };
   return options;
 }
@@ -84,8 +85,8 @@
   options.mHandler = [&aRuntime](Call& aCall) {
     return ServeAdmin(aRuntime, aCall);
   };
-  options.mOnMalformed = [&aRuntime](const Malformed& aFault) {
-    NoteMalformed(aRuntime, aFault);
+  options.mOnMalformed = [&aRuntime](const RequestError& aError) {
+    ReportMalformed(aRuntime, aError);
   };
   return options;
 }
@@ -96,21 +97,21 @@
   Runtime runtime(aSettings, aRecordFile);
   const Result<bool> started = runtime.Start();
   if (!started) {
-    WriteLog(3, "start: " + started.error().mMessage);
+    WriteLog(3, "start failed: " + started.error().mMessage);
     return kExitFailure;
   }
   SessionPool pool;
-  RunningCount running;
-  AttemptTools tools{ runtime, pool, running };
+  RunningAttempts running;
+  AttemptContext context{ runtime, pool, running };
   const HttpListener admin(AdminOptions(aSettings, runtime));
   std::unique_ptr<HttpListener> callers;
   if (aSettings.mEntry) {
-    callers = std::make_unique<HttpListener>(CallerOptions(aSettings, tools));
+    callers = std::make_unique<HttpListener>(CallerOptions(aSettings, context));
   }
   WriteLog(1, "serving");
   WaitForStop(runtime);
   callers.reset();
-  running.WaitNone();
+  running.WaitForAll();
   runtime.Stop();
   return 0;
 }
--- a/src/edge/http_server.cpp
+++ b/src/edge/http_server.cpp
@@ -38,7 +38,7 @@
          });
 }
 
-std::size_t CountOf(const HTTPRequest& aRequest, const std::string& aName)
+std::size_t CountHeaders(const HTTPRequest& aRequest, const std::string& aName)
 {
   return static_cast<std::size_t>(
     std::count_if(aRequest.begin(), aRequest.end(), [&](const auto& aField) {
@@ -54,9 +54,9 @@
          });
 }
 
-// Kinds are told apart by their path, so that a path must mean the same here
-// and at the target.
-bool IsPlainPath(const std::string& aUri)
+// Request kinds are matched by path, so a path must not be normalized to a
+// different one at the target.
+bool IsNormalizedPath(const std::string& aUri)
 {
   const std::string path = Poco::toLower(aUri.substr(0, aUri.find('?')));
   if (path.empty() || path[0] != '/') {
@@ -73,13 +73,16 @@
   });
 }
 
-Malformed CheckLength(const HTTPRequest& aRequest, std::uint64_t aMaxBody)
+RequestError CheckLength(const HTTPRequest& aRequest, std::uint64_t aMaxBody)
 {
-  const std::size_t lengths = CountOf(aRequest, HTTPMessage::CONTENT_LENGTH);
-  if (CountOf(aRequest, HTTPMessage::TRANSFER_ENCODING) > 0) {
+  const std::size_t lengths =
+    CountHeaders(aRequest, HTTPMessage::CONTENT_LENGTH);
+  if (CountHeaders(aRequest, HTTPMessage::TRANSFER_ENCODING) > 0) {
     return lengths > 0
-             ? Malformed{ kBadRequest, "both length and transfer encoding" }
-             : Malformed{ kLengthRequired, "a Content-Length is required" };
+             ? RequestError{ kBadRequest,
+                             "both Content-Length and Transfer-Encoding are "
+                             "given" }
+             : RequestError{ kLengthRequired, "a Content-Length is required" };
   }
   if (lengths > 1) {
     return { kBadRequest, "more than one Content-Length" };
@@ -129,7 +132,7 @@
         }
       }
     } catch (const Poco::Exception&) {
-      // The caller went away; there is nobody to tell.
+      // The caller has disconnected; no response can be sent.
     }
   }
 
@@ -141,37 +144,38 @@
       response.setVersion(request.getVersion());
       response.setKeepAlive(request.getKeepAlive() && aSession.canKeepAlive());
       Call call{ request, response, aSession };
-      const Malformed fault = CheckRequest(request, mOptions.mMaxBody());
-      if (fault.mStatus != 0) {
-        return Refuse(call, fault);
+      const RequestError requestError =
+        CheckRequest(request, mOptions.mMaxBody());
+      if (requestError.mStatus != 0) {
+        return Reject(call, requestError);
       }
       if (request.getExpectContinue()) {
         response.sendContinue();
       }
-      const After after = mOptions.mHandler(call);
-      if (after == After::Break) {
+      const ConnectionAction action = mOptions.mHandler(call);
+      if (action == ConnectionAction::Break) {
         socket().shutdown();
       }
-      return after == After::KeepOpen && response.getKeepAlive();
+      return action == ConnectionAction::KeepOpen && response.getKeepAlive();
     } catch (const Poco::Net::NoMessageException&) {
       return false;
     } catch (const Poco::Net::MessageException& error) {
-      RefuseUnread(response, error.displayText());
+      RejectUnparsed(response, error.displayText());
       return false;
     }
   }
 
-  bool Refuse(Call& aCall, const Malformed& aFault)
+  bool Reject(Call& aCall, const RequestError& aError)
   {
-    mOptions.mOnMalformed(aFault);
+    mOptions.mOnMalformed(aError);
     aCall.mResponse.setKeepAlive(false);
     aCall.mResponse.set("Geraniumpond-Outcome", "not-run");
-    SendText(aCall, aFault.mStatus, "text/plain", aFault.mReason + "\n");
+    SendText(aCall, aError.mStatus, "text/plain", aError.mReason + "\n");
     return false;
   }
 
-  void RefuseUnread(Poco::Net::HTTPServerResponseImpl& aResponse,
-                    const std::string& aReason)
+  void RejectUnparsed(Poco::Net::HTTPServerResponseImpl& aResponse,
+                      const std::string& aReason)
   {
     mOptions.mOnMalformed({ kBadRequest, aReason });
     if (aResponse.sent()) {
@@ -232,13 +236,13 @@
     try {
       socket.shutdown();
     } catch (const Poco::Exception&) {
-      // Ended by the other side already.
+      // The peer has closed the connection already.
     }
   }
 }
 
-Malformed CheckRequest(const Poco::Net::HTTPServerRequestImpl& aRequest,
-                       std::uint64_t aMaxBody)
+RequestError CheckRequest(const Poco::Net::HTTPServerRequestImpl& aRequest,
+                          std::uint64_t aMaxBody)
 {
   if (aRequest.getVersion() != HTTPMessage::HTTP_1_1) {
     return { kVersionNotSupported, "HTTP/1.1 only" };
@@ -246,14 +250,14 @@
   if (aRequest.getURI().size() > kMaxUri) {
     return { kUriTooLong, "URI too long" };
   }
-  if (!IsPlainPath(aRequest.getURI())) {
+  if (!IsNormalizedPath(aRequest.getURI())) {
     return { kBadRequest, "path not allowed" };
   }
-  const bool soundNames =
+  const bool validNames =
     std::all_of(aRequest.begin(), aRequest.end(), [](const auto& aField) {
       return IsToken(aField.first);
     });
-  if (!soundNames || !IsToken(aRequest.getMethod())) {
+  if (!validNames || !IsToken(aRequest.getMethod())) {
     return { kBadRequest, "malformed header" };
   }
   return CheckLength(aRequest, aMaxBody);
@@ -284,7 +288,8 @@
 {
   const Poco::Net::SocketAddress address(mOptions.mAddress);
   Poco::Net::ServerSocket socket;
-  // Without sharing: a second process on the same port must fail.
+  // Without SO_REUSEPORT, so that a second process on the same port fails to
+  // bind.
   socket.bind(address, true, false);
   socket.listen(1024);
   auto* params = new Poco::Net::TCPServerParams;
--- a/src/edge/logging.cpp
+++ b/src/edge/logging.cpp
@@ -94,7 +94,8 @@
   aOut << text.str();
 }
 
-/// \brief Writes whole lines to standard output, bounded and without waiting.
+/// \brief Writes complete lines to standard output, rate-limited and
+/// non-blocking.
 class BoundedOutput
   : public logging::sinks::
       basic_formatted_sink_backend<char, logging::sinks::synchronized_feeding>
@@ -103,29 +104,30 @@
   void consume(const logging::record_view&, const string_type& aLine)
   {
     if (!TakeToken()) {
-      ++mLeftOut;
+      ++mDroppedLines;
       return;
     }
-    if (mLeftOut > 0 &&
-        Write("event=log_lines_left_out count=" + std::to_string(mLeftOut))) {
-      mLeftOut = 0;
+    if (mDroppedLines > 0 && Write("event=log_lines_left_out count=" +
+                                   std::to_string(mDroppedLines))) {
+      mDroppedLines = 0;
     }
     if (!Write(aLine)) {
-      ++mLeftOut;
+      ++mDroppedLines;
     }
   }
 
 private:
-  // A line per request of a small host, and bursts of a few seconds.
+  // Enough for one line per request of a small host, with bursts of a few
+  // seconds.
   static constexpr double kLinesPerSecond = 150;
   static constexpr double kBurst = 600;
 
   bool TakeToken()
   {
     const auto now = std::chrono::steady_clock::now();
-    const std::chrono::duration<double> passed = now - mRefilled;
+    const std::chrono::duration<double> elapsed = now - mRefilled;
     mRefilled = now;
-    mTokens = std::min(kBurst, mTokens + passed.count() * kLinesPerSecond);
+    mTokens = std::min(kBurst, mTokens + elapsed.count() * kLinesPerSecond);
     if (mTokens < 1) {
       return false;
     }
@@ -133,8 +135,8 @@
     return true;
   }
 
-  // A pipe that is ready takes a line whole: lines are kept under its atomic
-  // size, and this is its only writer.
+  // A writable pipe accepts a whole line: lines are shorter than PIPE_BUF, and
+  // this is the only writer.
   static bool Write(const std::string& aLine)
   {
     pollfd output{ STDOUT_FILENO, POLLOUT, 0 };
@@ -149,7 +151,7 @@
 
   std::chrono::steady_clock::time_point mRefilled{};
   double mTokens = kBurst;
-  std::uint64_t mLeftOut = 0;
+  std::uint64_t mDroppedLines = 0;
 };
 
 } // namespace
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -18,7 +18,7 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-constexpr std::chrono::seconds kOperationPatience{ 20 };
+constexpr std::chrono::seconds kOperationTimeout{ 20 };
 constexpr std::uint32_t kUnavailable = 503;
 constexpr std::uint64_t kDefaultMaxBody = 1024 * 1024;
 
@@ -40,9 +40,9 @@
   return "disk-" + std::to_string(device()) + std::to_string(device());
 }
 
-// A step takes about a microsecond, much less than putting a thread to sleep
-// and waking it again.
-std::unique_lock<std::mutex> LockSpinning(std::mutex& aMutex)
+// Spins before blocking: a step of the reducer takes about a microsecond, much
+// less than putting a thread to sleep and waking it up.
+std::unique_lock<std::mutex> LockWithSpinning(std::mutex& aMutex)
 {
   constexpr int kTries = 200;
   for (int i = 0; i < kTries; ++i) {
@@ -55,8 +55,8 @@
   return std::unique_lock<std::mutex>(aMutex);
 }
 
-// Splitmix64: one random word per event, seeded once by the system.
-std::uint64_t NextWord(std::uint64_t& aState)
+// SplitMix64: one random number per event, seeded once from the system.
+std::uint64_t NextRandom(std::uint64_t& aState)
 {
   aState += 0x9e3779b97f4a7c15ULL;
   std::uint64_t word = aState;
@@ -106,20 +106,21 @@
   if (!mSettings.mControl) {
     return true;
   }
-  const Result<bool> made = InitJoiner(mSettings.mDataFolder, NewStorageName());
-  if (!made) {
-    return made.error();
+  const Result<bool> initialized =
+    InitJoiningHost(mSettings.mDataFolder, NewStorageName());
+  if (!initialized) {
+    return initialized.error();
   }
   Result<StoredState> stored = Recover(mSettings.mDataFolder);
   if (!stored) {
     return stored.error();
   }
-  if (stored.value().mCutBytes > 0) {
+  if (stored.value().mTruncatedBytes > 0) {
     WriteLog(2,
-             "log: cut a torn tail of " +
-               std::to_string(stored.value().mCutBytes) + " bytes");
+             "log: removed an incomplete record of " +
+               std::to_string(stored.value().mTruncatedBytes) + " bytes");
   }
-  *aStarted.mutable_hard_state() = stored.value().mHard;
+  *aStarted.mutable_hard_state() = stored.value().mHardState;
   *aStarted.mutable_snapshot() = stored.value().mSnapshot;
   for (wire::Entry& entry : stored.value().mEntries) {
     *aStarted.add_entries() = std::move(entry);
@@ -151,12 +152,12 @@
       });
   } catch (const std::exception& error) {
     return Fail(ErrorCode::Io,
-                "listen for hosts on " + mSettings.mPeerAddress + ": " +
-                  error.what());
+                "cannot listen for other hosts on " + mSettings.mPeerAddress +
+                  ": " + error.what());
   }
   mThreads.emplace_back([this] { RunTimer(); });
-  mThreads.emplace_back([this] { RunWriter(); });
-  mThreads.emplace_back([this] { RunCache(); });
+  mThreads.emplace_back([this] { RunLogWriter(); });
+  mThreads.emplace_back([this] { RunCacheWriter(); });
   Post(std::move(event));
   return true;
 }
@@ -179,14 +180,14 @@
 
 void Runtime::Post(wire::Event aEvent)
 {
-  const std::unique_lock<std::mutex> lock = LockSpinning(mMutex);
+  const std::unique_lock<std::mutex> lock = LockWithSpinning(mMutex);
   aEvent.set_now_us(Now());
-  aEvent.set_random(NextWord(mRandomState));
+  aEvent.set_random(NextRandom(mRandomState));
   const wire::Effects effects = node::Step(mState, aEvent);
   if (mRecordFile) {
     Record(aEvent, effects);
   }
-  Perform(effects);
+  PerformEffects(effects);
 }
 
 void Runtime::Record(const wire::Event& aEvent, const wire::Effects& aEffects)
@@ -200,14 +201,14 @@
   }
 }
 
-void Runtime::Perform(const wire::Effects& aEffects)
+void Runtime::PerformEffects(const wire::Effects& aEffects)
 {
   for (const wire::Effect& effect : aEffects.effects()) {
-    PerformOne(effect);
+    PerformEffect(effect);
   }
 }
 
-void Runtime::PerformOne(const wire::Effect& aEffect)
+void Runtime::PerformEffect(const wire::Effect& aEffect)
 {
   const auto toExchange = [&](std::uint64_t aRequest) {
     const std::shared_ptr<Exchange> exchange = FindExchange(aRequest);
@@ -239,7 +240,7 @@
       break;
     case wire::Effect::kPersist: {
       const std::lock_guard<std::mutex> lock(mThreadMutex);
-      mWrites.push_back(aEffect.persist());
+      mPendingWrites.push_back(aEffect.persist());
       mWriteQueued.notify_one();
       break;
     }
@@ -258,7 +259,7 @@
     case wire::Effect::kCache: {
       UpdateMaxBody();
       const std::lock_guard<std::mutex> lock(mThreadMutex);
-      mCache =
+      mPendingDeployment =
         std::make_unique<wire::DeploymentVersion>(aEffect.cache().deployment());
       mCacheQueued.notify_one();
       break;
@@ -278,7 +279,7 @@
   }
 }
 
-wire::OperationAnswer Runtime::Operate(
+wire::OperationAnswer Runtime::RunOperation(
   const std::function<void(wire::Event&, std::uint64_t)>& aFill)
 {
   const std::uint64_t id = ++mLastOperation;
@@ -287,10 +288,11 @@
   Post(std::move(event));
   std::unique_lock<std::mutex> lock(mOperationMutex);
   const bool done = mOperationDone.wait_for(
-    lock, kOperationPatience, [&] { return mOperationAnswers.count(id) != 0; });
+    lock, kOperationTimeout, [&] { return mOperationAnswers.count(id) != 0; });
   wire::OperationAnswer answer;
   answer.set_status(kUnavailable);
-  answer.set_body("{\"error\":\"unknown\",\"message\":\"no answer in time\"}");
+  answer.set_body("{\"error\":\"unknown\",\"message\":\"no result in time; the "
+                  "operation may still complete\"}");
   if (done) {
     answer = mOperationAnswers[id];
     mOperationAnswers.erase(id);
@@ -315,20 +317,20 @@
 
 void Runtime::EndExchange(const std::shared_ptr<Exchange>& aExchange)
 {
-  aExchange->End();
+  aExchange->DropWaitingAttempts();
   const std::lock_guard<std::mutex> lock(mExchangeMutex);
   mExchanges.erase(aExchange->Id());
 }
 
 void Runtime::UpdateMaxBody()
 {
-  std::uint64_t most = kDefaultMaxBody;
+  std::uint64_t largest = kDefaultMaxBody;
   for (const auto& [name, service] : mState.mDeployment.mServices) {
     for (const Kind& kind : service.mKinds) {
-      most = std::max(most, kind.mMaxBodyBytes);
+      largest = std::max(largest, kind.mMaxBodyBytes);
     }
   }
-  mMaxBody = most;
+  mMaxBody = largest;
 }
 
 bool Runtime::WaitExit(std::chrono::milliseconds aTimeout)
--- a/src/edge/target_client.cpp
+++ b/src/edge/target_client.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdle = 256;
+constexpr std::size_t kMaxIdleConnections = 256;
 constexpr std::size_t kMaxLine = 256;
 constexpr std::size_t kMaxTrailers = 64;
 constexpr int kKeepAliveSeconds = 3600;
-// Connections that were idle for longer are closed.
-constexpr Micros kForgetIdle = kMinute;
+// Connections that have been idle for longer are closed.
+constexpr Micros kMaxIdleTime = kMinute;
 
-// An idle connection must be silent; anything to read is an end or rubbish.
-bool IsQuiet(TargetSession& aSession)
+// Nothing may arrive on an idle connection: readable data means that it was
+// closed or that the target sent unexpected bytes.
+bool HasNoPendingData(TargetSession& aSession)
 {
   pollfd item{ aSession.socket().impl()->sockfd(), POLLIN, 0 };
   return ::poll(&item, 1, 0) == 0;
@@ -41,7 +42,7 @@
 
 int TargetSession::write(const char* aBuffer, std::streamsize aLength)
 {
-  // The parent reconnects and sends again, which could run a request twice.
+  // The base class reconnects and resends, which could run a request twice.
   // NOLINTNEXTLINE(bugprone-parent-virtual-call)
   return HTTPSession::write(aBuffer, aLength);
 }
@@ -75,7 +76,8 @@
     mRemaining = static_cast<std::uint64_t>(aResponse.getContentLength64());
     return true;
   }
-  // A body that ends with its connection cannot be told from a broken one.
+  // A body that ends when the connection closes cannot be distinguished from a
+  // truncated one.
   return false;
 }
 
@@ -133,7 +135,7 @@
 
 BodyRead TargetSession::ReadBody(char* aBuffer, std::size_t& aSize)
 {
-  const std::size_t room = aSize;
+  const std::size_t capacity = aSize;
   aSize = 0;
   if (mFraming == Framing::None ||
       (mFraming == Framing::Length && mRemaining == 0)) {
@@ -147,7 +149,7 @@
       return SkipTrailers() ? BodyRead::Done : BodyRead::Broken;
     }
   }
-  const auto wanted = std::min<std::uint64_t>(room, mRemaining);
+  const auto wanted = std::min<std::uint64_t>(capacity, mRemaining);
   const int count = read(aBuffer, static_cast<std::streamsize>(wanted));
   if (count <= 0) {
     return BodyRead::Broken;
@@ -157,34 +159,35 @@
   return BodyRead::More;
 }
 
-std::unique_ptr<TargetSession> SessionPool::Take(const std::string& aAddress,
-                                                 Micros aMaxIdle,
-                                                 Micros aNow)
+std::unique_ptr<TargetSession> SessionPool::Acquire(const std::string& aAddress,
+                                                    Micros aMaxIdle,
+                                                    Micros aNow)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   auto& idle = mIdle[aAddress];
   while (!idle.empty()) {
     std::unique_ptr<TargetSession> session = std::move(idle.back());
     idle.pop_back();
-    if (aNow - session->mLastUsed > kForgetIdle) {
+    if (aNow - session->mLastUsed > kMaxIdleTime) {
       idle.clear();
       return nullptr;
     }
     if (aNow - session->mLastUsed > aMaxIdle) {
-      // The rest has been idle for longer still. Keep it for other kinds.
+      // The others have been idle for even longer. Keep this connection for
+      // request kinds that allow a longer idle time.
       idle.push_back(std::move(session));
       return nullptr;
     }
-    if (IsQuiet(*session)) {
+    if (HasNoPendingData(*session)) {
       return session;
     }
   }
   return nullptr;
 }
 
-void SessionPool::Give(const std::string& aAddress,
-                       std::unique_ptr<TargetSession> aSession,
-                       Micros aNow)
+void SessionPool::Release(const std::string& aAddress,
+                          std::unique_ptr<TargetSession> aSession,
+                          Micros aNow)
 {
   if (!aSession->Reusable()) {
     return;
@@ -192,13 +195,13 @@
   aSession->mLastUsed = aNow;
   const std::lock_guard<std::mutex> lock(mMutex);
   auto& idle = mIdle[aAddress];
-  if (idle.size() >= kMaxIdle) {
+  if (idle.size() >= kMaxIdleConnections) {
     idle.erase(idle.begin());
   }
   idle.push_back(std::move(aSession));
 }
 
-void SessionPool::Suspect(const std::string& aAddress)
+void SessionPool::CloseIdle(const std::string& aAddress)
 {
   const std::lock_guard<std::mutex> lock(mMutex);
   mIdle.erase(aAddress);
