--- a/include/geraniumpond/node.h
+++ b/include/geraniumpond/node.h
@@ -12,13 +12,13 @@
 
 #include <optional>
 
-/// \brief One host's reducer: all decisions, over all events.
+/// \brief Deterministic state machine of one host.
 ///
-/// Step() is deterministic. It reads no clock and no random source; the same
-/// events always give the same effects, byte for byte.
+/// Step() reads no clock and no random source: the same sequence of events
+/// always yields the same effects, byte for byte.
 namespace geraniumpond::node {
 
-/// \brief Where a request stands.
+/// \brief Stage of a request's processing.
 enum class Phase
 {
   Claiming,
@@ -28,7 +28,7 @@
   Accepted
 };
 
-/// \brief One try of a request on one target.
+/// \brief One dispatch of a request to one target.
 struct Attempt
 {
   std::uint64_t mNumber = 0;
@@ -37,7 +37,7 @@
   bool mHedge = false;
 };
 
-/// \brief A request from its arrival to its last byte.
+/// \brief State of a request from its arrival to the end of its answer.
 struct Request
 {
   std::uint64_t mId = 0;
@@ -51,7 +51,8 @@
   bool mIdempotent = false;
   Phase mPhase = Phase::Waiting;
 
-  /// Scoped idempotency key; empty when the request is not keyed.
+  /// Idempotency key, scoped by client account; empty when the request has
+  /// none.
   std::string mKey;
   std::string mDigest;
   bool mOwnsKey = false;
@@ -63,18 +64,18 @@
   std::uint64_t mAccepted = 0;
   /// Set once an attempt ended without proof that it did not run.
   bool mMayHaveRun = false;
-  /// Set once the caller has its answer while a keyed attempt still runs: its
-  /// end goes to the key's record only.
+  /// Set once the client has been answered while a keyed attempt is still
+  /// running; the result of that attempt only updates the key's record.
   bool mDetached = false;
 
-  /// Strong validator of the accepted answer; empty when it has none.
+  /// Strong ETag of the accepted response; empty when it has none.
   std::string mEtag;
   bool mRangeAllowed = false;
   std::uint64_t mResumeFrom = 0;
   std::uint32_t mStatus = 0;
 };
 
-/// \brief Whose slot an attempt holds; outlives its request.
+/// \brief Concurrency slot that an attempt occupies; may outlive the request.
 struct Holding
 {
   std::string mService;
@@ -83,7 +84,7 @@
   Priority mPriority = Priority::Normal;
 };
 
-/// \brief One service at this entry.
+/// \brief State of one service at this entry host.
 struct ServiceState
 {
   routing::TargetSet mTargets;
@@ -93,7 +94,7 @@
   std::uint64_t mExtraAttempts = 0;
 };
 
-/// \brief What a request timer is for.
+/// \brief Purpose of a request timer.
 enum class TimerKind
 {
   Deadline,
@@ -102,7 +103,7 @@
   Claim
 };
 
-/// \brief A command on its way through the control group.
+/// \brief A command submitted to the control group and not yet acknowledged.
 struct Proposal
 {
   wire::Command mCommand;
@@ -114,7 +115,7 @@
   int mHintsFollowed = 0;
 };
 
-/// \brief A proposal that this leader answers when it commits.
+/// \brief A proposal whose sender this leader replies to once it commits.
 struct CommitWaiter
 {
   std::uint64_t mTerm = 0;
@@ -122,7 +123,7 @@
   std::uint64_t mProposal = 0;
 };
 
-/// \brief What is known of another host's liveness.
+/// \brief Liveness information about another host.
 struct PeerState
 {
   std::string mAddress;
@@ -133,10 +134,10 @@
   std::uint64_t mNumberSeen = 0;
 };
 
-/// \brief Counters that /metrics shows.
+/// \brief Counters exported by /metrics.
 using Counters = std::map<std::string, std::uint64_t>;
 
-/// \brief Everything one host knows.
+/// \brief Complete state of one host.
 struct State
 {
   wire::HostSettings mSettings;
@@ -149,7 +150,7 @@
   std::uint64_t mHeartbeatNumber = 0;
   Micros mHeartbeatAt = 0;
   Micros mGossipAt = 0;
-  /// Lease end of each target that announced itself here.
+  /// Lease expiry of each target that registered with this host.
   std::map<membership::FactKey, Micros> mLeases;
   budget::TokenBucket mHostBudget;
   std::map<std::string, budget::TokenBucket> mReportBudgets;
@@ -165,18 +166,19 @@
 
   Deployment mDeployment;
   wire::DeploymentVersion mVersion;
-  /// The one before, as the base of deltas.
+  /// Previous version in force; the base for deltas.
   wire::DeploymentVersion mPreviousVersion;
   std::set<std::string> mQuorumWord;
   bool mReady = false;
 
   std::map<std::uint64_t, Request> mRequests;
-  /// Attempts whose end has not been reported yet.
+  /// Slots of attempts whose end has not been reported yet, by attempt
+  /// number.
   std::map<std::uint64_t, Holding> mHoldings;
   std::uint64_t mLastAttempt = 0;
   std::map<std::string, ServiceState> mServices;
   std::set<std::tuple<Micros, TimerKind, std::uint64_t>> mTimers;
-  /// Time of the last SetTimer effect; none was given yet.
+  /// Time set by the last SetTimer effect; -1 if there was none.
   Micros mTimerAt = -1;
 
   bool mStopping = false;
@@ -187,13 +189,13 @@
   Counters mCounters;
 };
 
-/// \brief Takes one event; the only function that changes a State.
+/// \brief Processes one event; the only function that modifies a State.
 [[nodiscard]] wire::Effects Step(State& aState, const wire::Event& aEvent);
 
-/// \brief Settings in the form that events carry.
+/// \brief Converts settings to their protobuf form.
 [[nodiscard]] wire::HostSettings ToWire(const Settings& aSettings);
 
-/// \brief True while callers are served.
+/// \brief Whether the host accepts client requests.
 [[nodiscard]] bool IsReady(const State& aState) noexcept;
 
 } // namespace geraniumpond::node
--- a/include/geraniumpond/views.h
+++ b/include/geraniumpond/views.h
@@ -7,7 +7,8 @@
 /// \brief Read-only views of a host's state, as JSON or metrics text.
 namespace geraniumpond::views {
 
-/// \brief Who looks: the operator sees all, a caller only what is its own.
+/// \brief Access rights of a reader: an operator sees everything, a client
+/// account only its own data.
 struct Viewer
 {
   bool mOperator = false;
@@ -19,11 +20,13 @@
   }
 };
 
-/// \brief The viewer that a token's digest stands for; nobody by default.
+/// \brief Looks up the viewer by the SHA-256 of its token; an unknown token
+/// gives a viewer without rights.
 [[nodiscard]] Viewer ViewerOf(const node::State& aState,
                               const std::string& aTokenSha256);
 
-/// \brief Addresses that a caller of a service should use, and for how long.
+/// \brief Entry host addresses for clients of a service, and their time to
+/// live.
 [[nodiscard]] std::string Entries(const node::State& aState,
                                   const std::string& aService);
 [[nodiscard]] std::string Hosts(const node::State& aState, Micros aNow);
@@ -34,11 +37,11 @@
                                 const Viewer& aViewer);
 [[nodiscard]] std::string Budget(const node::State& aState, Micros aNow);
 
-/// \brief A deployment's text and origin; version 0 is the one in force.
+/// \brief Text and origin of a deployment version; 0 means the one in force.
 [[nodiscard]] std::string Config(const node::State& aState,
                                  std::uint64_t aVersion);
 
-/// \brief Series with their histograms, for `report burn` to merge.
+/// \brief Latency series with their histograms, as input of `report burn`.
 [[nodiscard]] std::string Burn(const node::State& aState,
                                const Viewer& aViewer,
                                Micros aNow);
--- a/src/node/admission.cpp
+++ b/src/node/admission.cpp
@@ -48,8 +48,9 @@
     });
 }
 
-// Finds who asks for what; answers and returns false when that is not allowed.
-// A service that the caller may not reach looks like one that does not exist.
+// Resolves the client account, service and kind; rejects the request and
+// returns false when access is not allowed. A service that the client account
+// may not use is reported as nonexistent, so that its name is not disclosed.
 bool FindRules(Context& aContext,
                const wire::RequestArrived& aEvent,
                Admission& aOut)
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -65,7 +65,7 @@
     return false;
   }
   aContext.Count("retries");
-  // With nothing left that was not tried, any target will do again.
+  // Once every target has been tried, all are eligible again.
   if (aRequest.mTried.size() >= service.mTargets.mTargets.size()) {
     aRequest.mTried.clear();
   }
@@ -123,8 +123,8 @@
   burn::Note(series, aContext.mNow, latency, kRan, good);
 }
 
-// The whole answer of a keyed request is here: the caller gets it now, its
-// record follows through the control group.
+// Sends the complete answer of a keyed request to the client at once; the key's
+// record is replicated through the control group afterwards.
 void TakeKeyedAnswer(Context& aContext,
                      Request& aRequest,
                      const wire::AttemptEnded& aEvent)
@@ -141,8 +141,8 @@
   Forget(aContext, aRequest.mId);
 }
 
-// The body broke after its first byte: the rest is fetched from another
-// target only where a strong validator proves that it is the same body.
+// Handles a response body that broke after its first byte. The rest is fetched
+// from another target only if a strong ETag proves that the body is the same.
 void ResumeOrBreak(Context& aContext,
                    Request& aRequest,
                    std::uint64_t aDelivered)
@@ -232,7 +232,7 @@
   const retries::Effect effect = EffectOf(aEvent.end());
   aRequest.mMayHaveRun =
     aRequest.mMayHaveRun || effect != retries::Effect::DidNotRun;
-  // A hedge may still answer.
+  // A hedged attempt may still succeed.
   if (!attempts.empty() || Retry(aContext, aRequest, effect)) {
     return;
   }
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 constexpr std::uint32_t kFirstServerError = 500;
-// A connection that answered this recently is proved alive; non-idempotent
-// requests use no other one, because a broken one would leave them unknown.
+// Non-idempotent requests reuse only connections that received a response this
+// recently: on a stale connection their outcome could become unknown.
 constexpr Micros kProvedAlive = 200 * kMillisecond;
 constexpr Micros kAnyIdle = 30 * kSecond;
-// A hedge starts once an attempt has taken this many usual latencies.
+// A hedged attempt starts after this multiple of the usual latency.
 constexpr double kHedgeAfter = 3.0;
 
-// A server error of an idempotent request is worth another target.
+// Retries an idempotent request on another target after a server error.
 bool RetryInstead(Context& aContext,
                   Request& aRequest,
                   const wire::AttemptHead& aEvent)
@@ -126,7 +126,7 @@
   const auto found = state.mRequests.find(aEvent.request());
   if (found == state.mRequests.end() ||
       FindAttempt(found->second, aEvent.attempt()) == nullptr) {
-    // A late answer belongs to nobody any more.
+    // The request has already finished; discard the late response.
     aContext.Count("answers_late");
     Drop(aContext, aEvent.request(), aEvent.attempt());
     return;
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// How long a host that starts waits for a quorum's word before it serves from
-// the deployment that it had in force last.
+// How long a starting host waits for a quorum of control hosts to confirm the
+// deployment version before it serves from its cached deployment.
 constexpr Micros kQuorumWait = 3 * kSecond;
 
 void ConfigureService(Context& aContext, const Service& aRules)
@@ -23,7 +23,7 @@
   SyncTargets(aContext, aRules.mName);
 }
 
-// The change alone, for hosts that have the version before it in force.
+// Push with only the delta, for hosts that run the previous version.
 wire::DeploymentPush NewPush(const State& aState)
 {
   wire::DeploymentPush push;
@@ -48,8 +48,8 @@
   SendTo(aContext, aTo, std::move(message));
 }
 
-// The whole version that a push stands for. A host that lacks the base of a
-// delta asks for the text itself.
+// Reconstructs the full version from a push. A host without the base of the
+// delta requests the full text.
 std::optional<wire::DeploymentVersion> Unpack(
   Context& aContext,
   const std::string& aFrom,
@@ -151,7 +151,7 @@
   if (aMessage.relay()) {
     SpreadDeployment(aContext, false);
   }
-  // The control hosts learn at once what is in force here.
+  // Report the version now in force to the control hosts immediately.
   for (const wire::Peer& voter : state.mSettings.voters()) {
     if (voter.id() != aContext.Self()) {
       SendHeartbeat(aContext, voter.id());
@@ -184,7 +184,7 @@
     state.mReady = true;
     aContext.Log(kInfo,
                  std::string("ready, ") +
-                   (word ? "by a quorum's word" : "after waiting for one"));
+                   (word ? "confirmed by a quorum" : "quorum wait timed out"));
   }
 }
 
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -173,7 +173,8 @@
   const Caller& caller = state.mDeployment.mCallers[aRequest.mCaller];
   limits::Add(state.mServices[aRequest.mService].mQueue, waiter, caller.mShare);
   const std::uint64_t id = aRequest.mId;
-  // The pump may end the request; the reference is not used after it.
+  // Dispatching from the queue may destroy the request; do not use the
+  // reference afterwards.
   Pump(aContext, std::string(aRequest.mService));
   const auto found = state.mRequests.find(id);
   if (found != state.mRequests.end() &&
@@ -193,7 +194,7 @@
   const int entries = std::max(service.mTargets.mRules.mEntries, 1);
   const int capacity =
     routing::Capacity(service.mTargets, aContext.mNow) / entries;
-  // A waiter that finds no target goes back and ends the round.
+  // A waiter for which no target is found is put back and ends the loop.
   while (!service.mQueue.mWaiters.empty()) {
     if (!routing::Pick(service.mTargets, aContext.mNow, 0, {}, {})) {
       return;
@@ -228,7 +229,7 @@
   Request& request = found->second;
   aContext.Count("clients_gone");
   if (request.mOwnsKey && !request.mAttempts.empty()) {
-    // The work goes on, so that a resend finds the answer.
+    // Let the attempt finish, so that a retry by the client gets its answer.
     request.mDetached = true;
     return;
   }
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Micros kGossipInterval = kSecond;
-// One exchange in this many goes to a seed, so that two halves that think each
-// other gone find each other again.
+// One gossip exchange in this many goes to a seed host, so that two partitions
+// that consider each other gone merge again after the network heals.
 constexpr std::uint64_t kSeedEvery = 4;
-// Largest number of a service's targets that one entry holds.
+// Maximum number of targets of one service that an entry host uses.
 constexpr std::size_t kSubset = 64;
 
 void Push(Context& aContext,
@@ -26,7 +26,7 @@
     *push.add_facts() = fact;
   }
   push.set_relay(aRelay);
-  // A change always goes out; it is charged so that gossip waits for it.
+  // A change is sent even over budget; charging it delays gossip instead.
   (void)budget::Take(aContext.mState.mHostBudget,
                      aContext.mNow,
                      static_cast<double>(message.ByteSizeLong()));
@@ -45,7 +45,7 @@
   });
 }
 
-// Another host thinks this one gone, or knows an earlier life of it.
+// Whether a fact claims that the running incarnation of this host is gone.
 bool MustRefute(const State& aState, const wire::Fact& aFact)
 {
   return aFact.kind() == wire::FACT_HOST &&
@@ -53,7 +53,8 @@
          aFact.incarnation() == aState.mIncarnation && aFact.gone();
 }
 
-// Which of the service's entries prefers which target.
+// Decides for each target of the service whether this host is the entry host
+// that prefers it.
 void AssignHomes(State& aState, const std::string& aService)
 {
   const auto rules = aState.mDeployment.mServices.find(aService);
@@ -79,13 +80,13 @@
     SyncTargets(aContext, aFact.service());
     return;
   }
-  // Who serves a service depends on which hosts there are.
+  // The entry hosts of each service depend on the set of known hosts.
   for (const auto& [name, service] : aContext.mState.mServices) {
     AssignHomes(aContext.mState, name);
   }
 }
 
-// Facts that changed here, in the order in which they came.
+// Merges the facts; returns those that changed the directory, in order.
 std::vector<wire::Fact> MergeAll(Context& aContext,
                                  const wire::FactPush& aMessage)
 {
@@ -201,7 +202,7 @@
 void UpdateTarget(routing::Target& aTarget, const wire::Fact& aFact)
 {
   if (aTarget.mIncarnation != aFact.incarnation()) {
-    // A restarted target is another one: nothing learned holds any more.
+    // A new incarnation invalidates everything measured for the old one.
     aTarget = NewTarget(aFact);
   }
   aTarget.mAddress = aFact.address();
@@ -210,9 +211,9 @@
   aTarget.mDraining = membership::IsDraining(aFact);
 }
 
-// The targets that this entry holds: all of a small service, and of a large
-// one a subset by rendezvous hashing, so that each target is held by about as
-// many entries as any other.
+// Targets that this entry host uses: all of them for a small service, otherwise
+// a subset chosen by rendezvous hashing, so that every target is used by about
+// the same number of entry hosts.
 std::vector<const wire::Fact*> HeldTargets(const State& aState,
                                            const std::string& aService)
 {
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Micros kJoinInterval = 500 * kMillisecond;
-// A member that is taken out must have been silent for this long.
+// A member is removed only after it has been silent for this long.
 constexpr Micros kReplaceAfter = 3 * kSecond;
-// A learner becomes a voter when it lacks no more than this many entries.
+// Maximum number of entries that a learner may lag behind to become a voter.
 constexpr std::uint64_t kCaughtUp = 10;
 
 void Reply(Context& aContext,
@@ -56,7 +56,7 @@
   }
   const CommitWaiter found = waiter->second;
   state.mCommitWaiters.erase(waiter);
-  // Another leader's entry took the place of the proposal.
+  // A different term means that another leader's entry replaced the proposal.
   if (found.mTerm == aEntry.term()) {
     Reply(aContext, found, outcome);
   }
@@ -97,8 +97,8 @@
   }
 }
 
-// A snapshot costs time in proportion to the state, so that it waits for as
-// many entries as half of the records that it would write.
+// The cost of a snapshot is proportional to the size of the state; it is taken
+// once the log has half as many entries as the snapshot would have records.
 bool IsSnapshotDue(const State& aState)
 {
   const std::uint64_t entries =
@@ -128,7 +128,7 @@
   }
 }
 
-// A learner that has caught up becomes a voter, one at a time.
+// Promotes learners that have caught up to voters, one at a time.
 void PromoteLearner(Context& aContext)
 {
   const consensus::State& group = aContext.mState.mGroup;
@@ -145,7 +145,7 @@
         changed.set_voter(true);
       }
     }
-    aContext.Log(kInfo, "control member " + member.id() + " becomes a voter");
+    aContext.Log(kInfo, "control member " + member.id() + " promoted to voter");
     Change(aContext, next);
     return;
   }
@@ -245,7 +245,7 @@
     if (member.storage() == joiner.storage()) {
       return;
     }
-    // The same host with another disk: its old self leaves first.
+    // The host rejoins with a replaced disk; remove its old member first.
     const Micros heard = state.mGroup.mProgress[joiner.id()].mHeardAt;
     if (aContext.mNow - heard > kReplaceAfter) {
       aContext.Log(kWarning,
--- a/src/node/keys.cpp
+++ b/src/node/keys.cpp
@@ -12,16 +12,16 @@
 constexpr Micros kFirstPoll = 20 * kMillisecond;
 constexpr Micros kLastPoll = 500 * kMillisecond;
 constexpr int kMaxDoublings = 5;
-// A completion must reach the group even when it is out of reach for long.
+// A completion is retried this long, to survive long control group outages.
 constexpr Micros kCompletionPatience = 10 * kMinute;
 
-// The owner lives on while its host runs the same incarnation.
+// The owner is gone once its host is gone or runs another incarnation.
 bool OwnerIsGone(const State& aState, const wire::KeyRecord& aRecord)
 {
   const wire::Fact* host = membership::Find(
     aState.mDirectory, { wire::FACT_HOST, "", aRecord.owner() });
-  // A claim may be committed before the news of its owner's start arrives: an
-  // owner that was never heard of is not lost, its record is waited for.
+  // A claim may be committed before the directory learns of its owner's start.
+  // An unknown owner is therefore not considered lost; wait for its record.
   return host != nullptr &&
          (host->gone() || host->incarnation() != aRecord.owner_incarnation());
 }
@@ -68,29 +68,32 @@
       AnswerStored(aContext, aRequest, aRecord);
       return;
     case wire::KEY_UNKNOWN:
-      AnswerAndForget(aContext,
-                      aRequest,
-                      { kConflict, kUnknown, "earlier attempt's end is lost" });
+      AnswerAndForget(
+        aContext,
+        aRequest,
+        { kConflict, kUnknown, "outcome of the earlier attempt is unknown" });
       return;
     case wire::KEY_CLAIMED:
       if (OwnerIsGone(aContext.mState, aRecord)) {
         AnswerAndForget(
           aContext,
           aRequest,
-          { kConflict, kUnknown, "earlier attempt's host is lost" });
+          { kConflict, kUnknown, "host that ran the earlier attempt is gone" });
         return;
       }
       AwaitRecord(aContext, aRequest);
       return;
     default:
-      // Released by this very request's own late copy: not claimable again.
+      // A late duplicate of this request's own release; the key cannot be
+      // claimed again.
       AnswerAndForget(
         aContext, aRequest, { kUnavailable, kNotRun, "claim released" });
       return;
   }
 }
 
-// The caller left, or its deadline passed, before the claim was granted.
+// Releases a claim that was granted after the client disconnected or the
+// deadline passed.
 void DropOrphan(Context& aContext,
                 const wire::ClaimKey& aClaim,
                 const wire::KeyRecord& aRecord)
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -7,16 +7,18 @@
 namespace {
 
 constexpr Micros kHeartbeatInterval = 500 * kMillisecond;
-// Silence after which a host is taken to be gone.
+// Time without a heartbeat after which a host is considered gone.
 constexpr Micros kSuspectAfter = 2500 * kMillisecond;
-// Hosts that each host sends heartbeats to, along a ring.
+// Number of ring neighbours that each host sends heartbeats to.
 constexpr int kRingWidth = 3;
-// One heartbeat in this many goes to the control hosts too.
+// One heartbeat in this many is also sent to the control hosts.
 constexpr std::uint64_t kControlEvery = 4;
-// A target whose lease holder is gone may announce itself elsewhere.
+// Time in which a target whose lease-holding host is gone may register with
+// another host before it is removed.
 constexpr Micros kOrphanGrace = 5 * kSecond;
 
-// Ring neighbours watch each other; control hosts only learn versions.
+// Recipients of heartbeats. Ring neighbours detect each other's failures;
+// control hosts only learn the deployment version in force.
 std::set<std::string> Audience(const State& aState)
 {
   std::set<std::string> audience;
@@ -46,7 +48,8 @@
 void Suspect(Context& aContext, const wire::Fact& aHost)
 {
   aContext.Count("hosts_suspected");
-  aContext.Log(kWarning, "host " + aHost.id() + " is silent: taken as gone");
+  aContext.Log(kWarning,
+               "host " + aHost.id() + " sent no heartbeat; considered gone");
   wire::Fact fact = aHost;
   fact.set_sequence(aHost.sequence() + 1);
   fact.set_gone(true);
@@ -80,8 +83,8 @@
   }
 }
 
-// A target that still answers is alive, whatever became of the host that held
-// its lease.
+// A target that still answers requests is alive even if the host that holds
+// its lease is gone.
 bool AnswersHere(State& aState, const wire::Fact& aFact, Micros aNow)
 {
   const auto service = aState.mServices.find(aFact.service());
--- a/src/node/metrics_text.cpp
+++ b/src/node/metrics_text.cpp
@@ -23,8 +23,8 @@
   return "service=\"" + aService + "\",kind=\"" + aKind + "\"";
 }
 
-// Callers are summed up: rivals share this system, and metrics are read by
-// whoever can reach the port.
+// Aggregates over client accounts: competitors share the system, and anyone who
+// can reach the port can read the metrics.
 std::map<std::pair<std::string, std::string>, burn::Series> Sums(
   const node::State& aState)
 {
--- a/src/node/proposals.cpp
+++ b/src/node/proposals.cpp
@@ -44,7 +44,7 @@
   message.mutable_proposal()->set_id(aId);
   *message.mutable_proposal()->mutable_command() = aProposal.mCommand;
   if (to == aContext.Self()) {
-    // The reply may erase the proposal, so that its copy is handed on.
+    // The reply may erase the proposal; pass the copy in the message.
     TakeProposal(aContext, to, message.proposal());
     return;
   }
--- a/src/node/step.cpp
+++ b/src/node/step.cpp
@@ -52,7 +52,7 @@
     ExpireLeases(aContext);
     membership::Forget(aContext.mState.mDirectory, aContext.mNow, kFactMemory);
     CheckReady(aContext);
-    // Asked at the pace of heartbeats: an answer must not cause a question.
+    // Ask only at the heartbeat interval: asking upon each reply would loop.
     if (!aContext.mState.mReady) {
       AskDeployment(aContext);
     }
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Time for the drain fact to reach the hosts that give addresses out.
+// Time for the drain fact to reach the hosts that serve address lists.
 constexpr Micros kSpreadTime = 2 * kSecond;
 
 } // namespace
@@ -22,7 +22,7 @@
     state.mStopAt +=
       kSpreadTime + state.mSettings.answer_keep_ms() * kMillisecond;
   }
-  aContext.Log(kInfo, "stopping: no longer given out to callers");
+  aContext.Log(kInfo, "stopping: removed from the address lists for clients");
   const wire::Fact* self = membership::Find(
     state.mDirectory, { wire::FACT_HOST, "", aContext.Self() });
   if (self != nullptr && !membership::IsDraining(*self)) {
@@ -43,7 +43,7 @@
   if (!state.mStopping || state.mExited || aContext.mNow < state.mStopAt) {
     return;
   }
-  // Records of keys that this host owns must reach the group first.
+  // Pending records of keys that this host owns must be committed first.
   if (!state.mRequests.empty() || !state.mHoldings.empty() ||
       !state.mProposals.empty()) {
     return;
--- a/src/node/targets.cpp
+++ b/src/node/targets.cpp
@@ -33,7 +33,7 @@
     fact.set_drain_sequence(aKnown->drain_sequence());
     fact.set_started_at_us(aKnown->started_at_us());
   }
-  // A target can start its drain; only an operator can end one.
+  // A target may start draining itself; only an operator may end a drain.
   if (aEvent.draining() && !membership::IsDraining(fact)) {
     fact.set_drain_sequence(fact.drain_sequence() + 1);
   }
