--- a/include/geraniumpond/node.h
+++ b/include/geraniumpond/node.h
@@ -76,7 +76,7 @@
 };
 
 /// \brief Concurrency slot that an attempt occupies; may outlive the request.
-struct Holding
+struct AttemptSlot
 {
   std::string mService;
   std::string mTarget;
@@ -174,7 +174,7 @@
   std::map<std::uint64_t, Request> mRequests;
   /// Slots of attempts whose end has not been reported yet, by attempt
   /// number.
-  std::map<std::uint64_t, Holding> mHoldings;
+  std::map<std::uint64_t, AttemptSlot> mAttemptSlots;
   std::uint64_t mLastAttempt = 0;
   std::map<std::string, ServiceState> mServices;
   std::set<std::tuple<Micros, TimerKind, std::uint64_t>> mTimers;
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -192,12 +192,12 @@
 void Release(Context& aContext, const wire::AttemptEnded& aEvent)
 {
   State& state = aContext.mState;
-  const auto found = state.mHoldings.find(aEvent.attempt());
-  if (found == state.mHoldings.end()) {
+  const auto found = state.mAttemptSlots.find(aEvent.attempt());
+  if (found == state.mAttemptSlots.end()) {
     return;
   }
-  const Holding holding = found->second;
-  state.mHoldings.erase(found);
+  const AttemptSlot holding = found->second;
+  state.mAttemptSlots.erase(found);
   ServiceState& service = state.mServices[holding.mService];
   routing::Finish(service.mTargets,
                   holding.mTarget,
@@ -259,9 +259,9 @@
 void TakeEnd(Context& aContext, const wire::AttemptEnded& aEvent)
 {
   State& state = aContext.mState;
-  const auto holding = state.mHoldings.find(aEvent.attempt());
+  const auto holding = state.mAttemptSlots.find(aEvent.attempt());
   const std::string service =
-    holding == state.mHoldings.end() ? "" : holding->second.mService;
+    holding == state.mAttemptSlots.end() ? "" : holding->second.mService;
   Release(aContext, aEvent);
   const auto found = state.mRequests.find(aEvent.request());
   if (found != state.mRequests.end() &&
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -89,7 +89,7 @@
     ++service.mExtraAttempts;
   }
   aRequest.mPhase = Phase::Running;
-  state.mHoldings[number] = {
+  state.mAttemptSlots[number] = {
     aRequest.mService, target.mId, aRequest.mCaller, aRequest.mPriority
   };
   routing::Begin(
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -44,7 +44,7 @@
     return;
   }
   // Pending records of keys that this host owns must be committed first.
-  if (!state.mRequests.empty() || !state.mHoldings.empty() ||
+  if (!state.mRequests.empty() || !state.mAttemptSlots.empty() ||
       !state.mProposals.empty()) {
     return;
   }
