--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -41,10 +41,10 @@
   }
 }
 
-void TakeLoad(Context& aContext,
-              const std::string& aService,
-              const std::string& aTarget,
-              const wire::LoadReport& aLoad)
+void UpdateLoad(Context& aContext,
+                const std::string& aService,
+                const std::string& aTarget,
+                const wire::LoadReport& aLoad)
 {
   if (!aLoad.present()) {
     return;
@@ -125,9 +125,9 @@
 
 // Sends the complete answer of a keyed request to the client at once; the key's
 // record is replicated through the control group afterwards.
-void TakeKeyedAnswer(Context& aContext,
-                     Request& aRequest,
-                     const wire::AttemptEnded& aEvent)
+void HandleKeyedAnswer(Context& aContext,
+                       Request& aRequest,
+                       const wire::AttemptEnded& aEvent)
 {
   aRequest.mStatus = aEvent.status();
   CompleteKey(aContext, aRequest, &aEvent.answer());
@@ -170,9 +170,9 @@
   aRequest.mPhase = Phase::Accepted;
 }
 
-void TakeAcceptedEnd(Context& aContext,
-                     Request& aRequest,
-                     const wire::AttemptEnded& aEvent)
+void HandleAcceptedEnd(Context& aContext,
+                       Request& aRequest,
+                       const wire::AttemptEnded& aEvent)
 {
   switch (aEvent.end()) {
     case wire::END_COMPLETE:
@@ -204,7 +204,7 @@
                   aEvent.attempt(),
                   VerdictOf(aEvent),
                   aContext.mNow);
-  TakeLoad(aContext, holding.mService, holding.mTarget, aEvent.load());
+  UpdateLoad(aContext, holding.mService, holding.mTarget, aEvent.load());
   limits::Running(service.mQueue, holding.mCaller, holding.mPriority, -1);
 }
 
@@ -221,12 +221,12 @@
                  attempts.end());
   if (aRequest.mAccepted != 0) {
     if (aRequest.mAccepted == aEvent.attempt()) {
-      TakeAcceptedEnd(aContext, aRequest, aEvent);
+      HandleAcceptedEnd(aContext, aRequest, aEvent);
     }
     return;
   }
   if (aRequest.mOwnsKey && aEvent.end() == wire::END_COMPLETE) {
-    TakeKeyedAnswer(aContext, aRequest, aEvent);
+    HandleKeyedAnswer(aContext, aRequest, aEvent);
     return;
   }
   const retries::Effect effect = EffectOf(aEvent.end());
@@ -256,7 +256,7 @@
   Forget(aContext, aRequest.mId);
 }
 
-void TakeEnd(Context& aContext, const wire::AttemptEnded& aEvent)
+void HandleAttemptEnd(Context& aContext, const wire::AttemptEnded& aEvent)
 {
   State& state = aContext.mState;
   const auto holding = state.mAttemptSlots.find(aEvent.attempt());
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -120,7 +120,7 @@
   }
 }
 
-void TakeHead(Context& aContext, const wire::AttemptHead& aEvent)
+void HandleAttemptHead(Context& aContext, const wire::AttemptHead& aEvent)
 {
   State& state = aContext.mState;
   const auto found = state.mRequests.find(aEvent.request());
--- a/src/node/context.h
+++ b/src/node/context.h
@@ -48,8 +48,8 @@
                                            const wire::RequestArrived& aEvent);
 
 // --- entry.cpp: arrival, queueing and timers of requests
-void Arrive(Context& aContext, const wire::RequestArrived& aEvent);
-void ClientLeft(Context& aContext, std::uint64_t aRequest);
+void HandleRequest(Context& aContext, const wire::RequestArrived& aEvent);
+void HandleClientGone(Context& aContext, std::uint64_t aRequest);
 void Enqueue(Context& aContext, Request& aRequest);
 void Pump(Context& aContext, const std::string& aService);
 void FireTimer(Context& aContext, TimerKind aKind, std::uint64_t aRequest);
@@ -78,8 +78,8 @@
                   Request& aRequest,
                   std::size_t aTarget,
                   bool aHedge);
-void TakeHead(Context& aContext, const wire::AttemptHead& aEvent);
-void TakeEnd(Context& aContext, const wire::AttemptEnded& aEvent);
+void HandleAttemptHead(Context& aContext, const wire::AttemptHead& aEvent);
+void HandleAttemptEnd(Context& aContext, const wire::AttemptEnded& aEvent);
 void CancelAttempts(Context& aContext,
                     Request& aRequest,
                     std::uint64_t aExcept);
@@ -97,10 +97,10 @@
 
 // --- keys.cpp: idempotency keys
 void ClaimKey(Context& aContext, Request& aRequest);
-void TakeRecord(Context& aContext,
-                std::uint64_t aRequest,
-                const wire::Command& aCommand,
-                const wire::KeyRecord& aRecord);
+void HandleKeyRecord(Context& aContext,
+                     std::uint64_t aRequest,
+                     const wire::Command& aCommand,
+                     const wire::KeyRecord& aRecord);
 void CompleteKey(Context& aContext,
                  const Request& aRequest,
                  const wire::StoredAnswer* aAnswer);
@@ -109,19 +109,21 @@
 // --- proposals.cpp: submission of commands to the control group
 std::uint64_t Submit(Context& aContext, Proposal aProposal);
 void RetryProposals(Context& aContext);
-void TakeProposal(Context& aContext,
-                  const std::string& aFrom,
-                  const wire::Proposal& aMessage);
-void TakeProposalReply(Context& aContext, const wire::ProposalReply& aMessage);
+void HandleProposal(Context& aContext,
+                    const std::string& aFrom,
+                    const wire::Proposal& aMessage);
+void HandleProposalReply(Context& aContext,
+                         const wire::ProposalReply& aMessage);
 [[nodiscard]] Micros NextProposalTime(const State& aState) noexcept;
 
 // --- group.cpp: consensus of the control group
 void StartGroup(Context& aContext, const wire::Started& aEvent);
 void TickGroup(Context& aContext);
-void TakeConsensus(Context& aContext, const wire::ConsensusMessage& aMessage);
-void TakeSync(Context& aContext, std::uint64_t aSequence);
-void TakeSyncFailure(Context& aContext, const std::string& aReason);
-void TakeJoin(Context& aContext, const wire::JoinRequest& aMessage);
+void HandleConsensusMessage(Context& aContext,
+                            const wire::ConsensusMessage& aMessage);
+void HandleSync(Context& aContext, std::uint64_t aSequence);
+void HandleSyncFailure(Context& aContext, const std::string& aReason);
+void HandleJoinRequest(Context& aContext, const wire::JoinRequest& aMessage);
 void Drain(Context& aContext, consensus::Output aOutput);
 
 // --- facts.cpp: the membership directory and its replication
@@ -132,42 +134,43 @@
 void ForEachSpread(Context& aContext,
                    bool aAcross,
                    const std::function<void(const std::string&, bool)>& aSend);
-void TakeFacts(Context& aContext, const wire::FactPush& aMessage);
+void HandleFactPush(Context& aContext, const wire::FactPush& aMessage);
 void Gossip(Context& aContext);
-void TakeDigests(Context& aContext,
-                 const std::string& aFrom,
-                 const wire::DigestOffer& aMessage);
-void TakeFactRequest(Context& aContext,
-                     const std::string& aFrom,
-                     const wire::FactRequest& aMessage);
+void HandleDigestOffer(Context& aContext,
+                       const std::string& aFrom,
+                       const wire::DigestOffer& aMessage);
+void HandleFactRequest(Context& aContext,
+                       const std::string& aFrom,
+                       const wire::FactRequest& aMessage);
 void AnnounceSelf(Context& aContext);
 void SyncTargets(Context& aContext, const std::string& aService);
 
 // --- liveness.cpp: heartbeats, failure detection, leases
 void Heartbeat(Context& aContext);
 void SendHeartbeat(Context& aContext, const std::string& aHost);
-void TakeHeartbeat(Context& aContext,
-                   const std::string& aFrom,
-                   std::uint64_t aIncarnation,
-                   const wire::Heartbeat& aMessage);
+void HandleHeartbeat(Context& aContext,
+                     const std::string& aFrom,
+                     std::uint64_t aIncarnation,
+                     const wire::Heartbeat& aMessage);
 void ExpireLeases(Context& aContext);
 
 // --- targets.cpp: registration of targets
-void TakeAnnounce(Context& aContext, const wire::TargetAnnounced& aEvent);
+void HandleAnnouncement(Context& aContext, const wire::TargetAnnounced& aEvent);
 
 // --- deployments.cpp: distribution of deployments
-void TakeDeployment(Context& aContext, const wire::DeploymentVersion& aVersion);
+void AdoptDeployment(Context& aContext,
+                     const wire::DeploymentVersion& aVersion);
 void SpreadDeployment(Context& aContext, bool aAcross);
-void TakeDeploymentPush(Context& aContext,
-                        const std::string& aFrom,
-                        const wire::DeploymentPush& aMessage);
+void HandleDeploymentPush(Context& aContext,
+                          const std::string& aFrom,
+                          const wire::DeploymentPush& aMessage);
 void AskDeployment(Context& aContext);
 void SendDeployment(Context& aContext, const std::string& aTo, bool aRelay);
 void CheckReady(Context& aContext);
 
 // --- operators.cpp: operators' requests
-void TakeApply(Context& aContext, const wire::OperatorApply& aEvent);
-void TakeDrain(Context& aContext, const wire::OperatorDrain& aEvent);
+void HandleApply(Context& aContext, const wire::OperatorApply& aEvent);
+void HandleDrain(Context& aContext, const wire::OperatorDrain& aEvent);
 void AnswerOperation(Context& aContext,
                      std::uint64_t aOperation,
                      std::uint32_t aStatus,
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -84,7 +84,7 @@
 
 } // namespace
 
-void TakeDeployment(Context& aContext, const wire::DeploymentVersion& aVersion)
+void AdoptDeployment(Context& aContext, const wire::DeploymentVersion& aVersion)
 {
   State& state = aContext.mState;
   if (aVersion.version() <= state.mVersion.version()) {
@@ -130,9 +130,9 @@
   });
 }
 
-void TakeDeploymentPush(Context& aContext,
-                        const std::string& aFrom,
-                        const wire::DeploymentPush& aMessage)
+void HandleDeploymentPush(Context& aContext,
+                          const std::string& aFrom,
+                          const wire::DeploymentPush& aMessage)
 {
   State& state = aContext.mState;
   const std::uint64_t before = state.mVersion.version();
@@ -142,7 +142,7 @@
   const std::optional<wire::DeploymentVersion> version =
     Unpack(aContext, aFrom, aMessage);
   if (version) {
-    TakeDeployment(aContext, *version);
+    AdoptDeployment(aContext, *version);
   }
   CheckReady(aContext);
   if (state.mVersion.version() == before) {
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -45,7 +45,7 @@
   }
 }
 
-void MissDeadline(Context& aContext, Request& aRequest)
+void HandleDeadline(Context& aContext, Request& aRequest)
 {
   if (aRequest.mPhase == Phase::Accepted || aRequest.mDetached) {
     return;
@@ -139,7 +139,7 @@
   aContext.mState.mRequests.erase(found);
 }
 
-void Arrive(Context& aContext, const wire::RequestArrived& aEvent)
+void HandleRequest(Context& aContext, const wire::RequestArrived& aEvent)
 {
   std::optional<Request> admitted = Admit(aContext, aEvent);
   if (!admitted) {
@@ -220,7 +220,7 @@
   }
 }
 
-void ClientLeft(Context& aContext, std::uint64_t aRequest)
+void HandleClientGone(Context& aContext, std::uint64_t aRequest)
 {
   const auto found = aContext.mState.mRequests.find(aRequest);
   if (found == aContext.mState.mRequests.end()) {
@@ -249,7 +249,7 @@
   Request& request = found->second;
   switch (aKind) {
     case TimerKind::Deadline:
-      MissDeadline(aContext, request);
+      HandleDeadline(aContext, request);
       break;
     case TimerKind::GiveUp:
       GiveUp(aContext, request);
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -271,7 +271,7 @@
   Spread(aContext, { now }, true);
 }
 
-void TakeFacts(Context& aContext, const wire::FactPush& aMessage)
+void HandleFactPush(Context& aContext, const wire::FactPush& aMessage)
 {
   const std::vector<wire::Fact> changed = MergeAll(aContext, aMessage);
   if (aMessage.relay()) {
@@ -288,9 +288,9 @@
   }
 }
 
-void TakeDigests(Context& aContext,
-                 const std::string& aFrom,
-                 const wire::DigestOffer& aMessage)
+void HandleDigestOffer(Context& aContext,
+                       const std::string& aFrom,
+                       const wire::DigestOffer& aMessage)
 {
   const membership::Directory& directory = aContext.mState.mDirectory;
   if (aMessage.root() == directory.mRoot) {
@@ -313,9 +313,9 @@
   }
 }
 
-void TakeFactRequest(Context& aContext,
-                     const std::string& aFrom,
-                     const wire::FactRequest& aMessage)
+void HandleFactRequest(Context& aContext,
+                       const std::string& aFrom,
+                       const wire::FactRequest& aMessage)
 {
   PushServices(aContext,
                aFrom,
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -21,7 +21,7 @@
   reply.set_leader(aContext.Self());
   *reply.mutable_outcome() = aOutcome;
   if (aWaiter.mFrom == aContext.Self()) {
-    TakeProposalReply(aContext, reply);
+    HandleProposalReply(aContext, reply);
     return;
   }
   wire::PeerMessage message;
@@ -44,7 +44,7 @@
   if (outcome.has_change() && outcome.change().accepted()) {
     const wire::DeploymentVersion* latest = control::Latest(state.mControl);
     if (latest != nullptr && latest->version() > state.mVersion.version()) {
-      TakeDeployment(aContext, *latest);
+      AdoptDeployment(aContext, *latest);
       if (consensus::IsLeader(state.mGroup)) {
         SpreadDeployment(aContext, true);
       }
@@ -77,7 +77,7 @@
   state.mControl = std::move(loaded.value());
   const wire::DeploymentVersion* latest = control::Latest(state.mControl);
   if (latest != nullptr) {
-    TakeDeployment(aContext, *latest);
+    AdoptDeployment(aContext, *latest);
   }
 }
 
@@ -204,7 +204,8 @@
   }
 }
 
-void TakeConsensus(Context& aContext, const wire::ConsensusMessage& aMessage)
+void HandleConsensusMessage(Context& aContext,
+                            const wire::ConsensusMessage& aMessage)
 {
   State& state = aContext.mState;
   if (!state.mSettings.control()) {
@@ -216,21 +217,21 @@
   Drain(aContext, std::move(output));
 }
 
-void TakeSync(Context& aContext, std::uint64_t aSequence)
+void HandleSync(Context& aContext, std::uint64_t aSequence)
 {
   consensus::Output output;
   consensus::MarkSynced(aContext.mState.mGroup, aSequence, output);
   Drain(aContext, std::move(output));
 }
 
-void TakeSyncFailure(Context& aContext, const std::string& aReason)
+void HandleSyncFailure(Context& aContext, const std::string& aReason)
 {
   aContext.Log(kError, "disk: " + aReason + "; this host no longer votes");
   aContext.Count("disk_failures");
   consensus::MarkFailed(aContext.mState.mGroup);
 }
 
-void TakeJoin(Context& aContext, const wire::JoinRequest& aMessage)
+void HandleJoinRequest(Context& aContext, const wire::JoinRequest& aMessage)
 {
   State& state = aContext.mState;
   const wire::Member& joiner = aMessage.member();
--- a/src/node/keys.cpp
+++ b/src/node/keys.cpp
@@ -59,9 +59,9 @@
     { aContext.mNow + delay, TimerKind::Claim, aRequest.mId });
 }
 
-void TakeForeignRecord(Context& aContext,
-                       Request& aRequest,
-                       const wire::KeyRecord& aRecord)
+void HandleForeignRecord(Context& aContext,
+                         Request& aRequest,
+                         const wire::KeyRecord& aRecord)
 {
   switch (aRecord.phase()) {
     case wire::KEY_DONE:
@@ -129,10 +129,10 @@
   Submit(aContext, std::move(proposal));
 }
 
-void TakeRecord(Context& aContext,
-                std::uint64_t aRequest,
-                const wire::Command& aCommand,
-                const wire::KeyRecord& aRecord)
+void HandleKeyRecord(Context& aContext,
+                     std::uint64_t aRequest,
+                     const wire::Command& aCommand,
+                     const wire::KeyRecord& aRecord)
 {
   if (!aCommand.has_claim()) {
     return;
@@ -166,7 +166,7 @@
                       "Idempotency-Key was used with another request" });
     return;
   }
-  TakeForeignRecord(aContext, request, aRecord);
+  HandleForeignRecord(aContext, request, aRecord);
 }
 
 void CompleteKey(Context& aContext,
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -140,10 +140,10 @@
   CheckHosts(aContext);
 }
 
-void TakeHeartbeat(Context& aContext,
-                   const std::string& aFrom,
-                   std::uint64_t aIncarnation,
-                   const wire::Heartbeat& aMessage)
+void HandleHeartbeat(Context& aContext,
+                     const std::string& aFrom,
+                     std::uint64_t aIncarnation,
+                     const wire::Heartbeat& aMessage)
 {
   State& state = aContext.mState;
   PeerState& peer = state.mPeers[aFrom];
--- a/src/node/operators.cpp
+++ b/src/node/operators.cpp
@@ -87,7 +87,7 @@
     aContext, aOperation, aOutcome.accepted() ? kOk : kConflict, Write(object));
 }
 
-void TakeApply(Context& aContext, const wire::OperatorApply& aEvent)
+void HandleApply(Context& aContext, const wire::OperatorApply& aEvent)
 {
   if (!IsOperator(aContext, aEvent.operation(), aEvent.token_sha256())) {
     return;
@@ -115,7 +115,7 @@
   Submit(aContext, std::move(proposal));
 }
 
-void TakeDrain(Context& aContext, const wire::OperatorDrain& aEvent)
+void HandleDrain(Context& aContext, const wire::OperatorDrain& aEvent)
 {
   if (!IsOperator(aContext, aEvent.operation(), aEvent.token_sha256())) {
     return;
--- a/src/node/proposals.cpp
+++ b/src/node/proposals.cpp
@@ -45,7 +45,7 @@
   *message.mutable_proposal()->mutable_command() = aProposal.mCommand;
   if (to == aContext.Self()) {
     // The reply may erase the proposal; pass the copy in the message.
-    TakeProposal(aContext, to, message.proposal());
+    HandleProposal(aContext, to, message.proposal());
     return;
   }
   SendTo(aContext, to, std::move(message));
@@ -82,7 +82,7 @@
     AnswerChange(aContext, aProposal.mOperation, aOutcome.change());
   }
   if (aOutcome.has_record()) {
-    TakeRecord(
+    HandleKeyRecord(
       aContext, aProposal.mRequest, aProposal.mCommand, aOutcome.record());
   }
 }
@@ -135,9 +135,9 @@
                                        : aState.mProposalTimes.begin()->first;
 }
 
-void TakeProposal(Context& aContext,
-                  const std::string& aFrom,
-                  const wire::Proposal& aMessage)
+void HandleProposal(Context& aContext,
+                    const std::string& aFrom,
+                    const wire::Proposal& aMessage)
 {
   State& state = aContext.mState;
   if (!state.mSettings.control()) {
@@ -159,7 +159,7 @@
   Drain(aContext, std::move(output));
 }
 
-void TakeProposalReply(Context& aContext, const wire::ProposalReply& aMessage)
+void HandleProposalReply(Context& aContext, const wire::ProposalReply& aMessage)
 {
   State& state = aContext.mState;
   const auto found = state.mProposals.find(aMessage.id());
--- a/src/node/step.cpp
+++ b/src/node/step.cpp
@@ -26,7 +26,7 @@
     StartGroup(aContext, aEvent);
   }
   if (aEvent.has_cached()) {
-    TakeDeployment(aContext, aEvent.cached());
+    AdoptDeployment(aContext, aEvent.cached());
   }
   AskDeployment(aContext);
   Heartbeat(aContext);
@@ -62,41 +62,41 @@
   }
 }
 
-void TakePeer(Context& aContext, const wire::PeerMessage& aMessage)
+void HandlePeerMessage(Context& aContext, const wire::PeerMessage& aMessage)
 {
   const std::string& from = aMessage.from();
   aContext.mState.mPeers[from].mAddress = aMessage.from_address();
   switch (aMessage.body_case()) {
     case wire::PeerMessage::kConsensus:
-      TakeConsensus(aContext, aMessage.consensus());
+      HandleConsensusMessage(aContext, aMessage.consensus());
       break;
     case wire::PeerMessage::kFactPush:
-      TakeFacts(aContext, aMessage.fact_push());
+      HandleFactPush(aContext, aMessage.fact_push());
       break;
     case wire::PeerMessage::kDigestOffer:
-      TakeDigests(aContext, from, aMessage.digest_offer());
+      HandleDigestOffer(aContext, from, aMessage.digest_offer());
       break;
     case wire::PeerMessage::kFactRequest:
-      TakeFactRequest(aContext, from, aMessage.fact_request());
+      HandleFactRequest(aContext, from, aMessage.fact_request());
       break;
     case wire::PeerMessage::kHeartbeat:
-      TakeHeartbeat(
+      HandleHeartbeat(
         aContext, from, aMessage.from_incarnation(), aMessage.heartbeat());
       break;
     case wire::PeerMessage::kDeploymentPush:
-      TakeDeploymentPush(aContext, from, aMessage.deployment_push());
+      HandleDeploymentPush(aContext, from, aMessage.deployment_push());
       break;
     case wire::PeerMessage::kDeploymentRequest:
       SendDeployment(aContext, from, false);
       break;
     case wire::PeerMessage::kProposal:
-      TakeProposal(aContext, from, aMessage.proposal());
+      HandleProposal(aContext, from, aMessage.proposal());
       break;
     case wire::PeerMessage::kProposalReply:
-      TakeProposalReply(aContext, aMessage.proposal_reply());
+      HandleProposalReply(aContext, aMessage.proposal_reply());
       break;
     case wire::PeerMessage::kJoinRequest:
-      TakeJoin(aContext, aMessage.join_request());
+      HandleJoinRequest(aContext, aMessage.join_request());
       break;
     case wire::PeerMessage::BODY_NOT_SET:
       aContext.Count("peer_messages_unknown");
@@ -114,34 +114,34 @@
       Tick(aContext);
       break;
     case wire::Event::kPeer:
-      TakePeer(aContext, aEvent.peer());
+      HandlePeerMessage(aContext, aEvent.peer());
       break;
     case wire::Event::kRequest:
-      Arrive(aContext, aEvent.request());
+      HandleRequest(aContext, aEvent.request());
       break;
     case wire::Event::kHead:
-      TakeHead(aContext, aEvent.head());
+      HandleAttemptHead(aContext, aEvent.head());
       break;
     case wire::Event::kEnded:
-      TakeEnd(aContext, aEvent.ended());
+      HandleAttemptEnd(aContext, aEvent.ended());
       break;
     case wire::Event::kClientGone:
-      ClientLeft(aContext, aEvent.client_gone().request());
+      HandleClientGone(aContext, aEvent.client_gone().request());
       break;
     case wire::Event::kAnnounced:
-      TakeAnnounce(aContext, aEvent.announced());
+      HandleAnnouncement(aContext, aEvent.announced());
       break;
     case wire::Event::kApply:
-      TakeApply(aContext, aEvent.apply());
+      HandleApply(aContext, aEvent.apply());
       break;
     case wire::Event::kDrain:
-      TakeDrain(aContext, aEvent.drain());
+      HandleDrain(aContext, aEvent.drain());
       break;
     case wire::Event::kSyncDone:
-      TakeSync(aContext, aEvent.sync_done().sequence());
+      HandleSync(aContext, aEvent.sync_done().sequence());
       break;
     case wire::Event::kSyncFailed:
-      TakeSyncFailure(aContext, aEvent.sync_failed().reason());
+      HandleSyncFailure(aContext, aEvent.sync_failed().reason());
       break;
     case wire::Event::kStop:
       BeginStop(aContext);
--- a/src/node/targets.cpp
+++ b/src/node/targets.cpp
@@ -65,7 +65,7 @@
   }
 }
 
-void TakeLoadReport(Context& aContext, const wire::TargetAnnounced& aEvent)
+void HandleLoadReport(Context& aContext, const wire::TargetAnnounced& aEvent)
 {
   State& state = aContext.mState;
   if (!aEvent.load().present()) {
@@ -88,7 +88,7 @@
 
 } // namespace
 
-void TakeAnnounce(Context& aContext, const wire::TargetAnnounced& aEvent)
+void HandleAnnouncement(Context& aContext, const wire::TargetAnnounced& aEvent)
 {
   State& state = aContext.mState;
   const auto answer = [&](std::uint32_t aStatus, const std::string& aBody) {
@@ -121,7 +121,7 @@
     return;
   }
   Renew(aContext, aEvent, service->second);
-  TakeLoadReport(aContext, aEvent);
+  HandleLoadReport(aContext, aEvent);
   const wire::Fact* fact = membership::Find(
     state.mDirectory, { wire::FACT_TARGET, aEvent.service(), aEvent.id() });
   const Micros lease = service->second.mLease / kMillisecond;
