--- a/src/node/admission.cpp
+++ b/src/node/admission.cpp
@@ -40,7 +40,7 @@
   answer.set_close_connection(aContext.mState.mStopping);
 }
 
-bool TakesPath(const Service& aService, const std::string& aPath)
+bool AcceptsPath(const Service& aService, const std::string& aPath)
 {
   return std::any_of(
     aService.mKinds.begin(), aService.mKinds.end(), [&](const Kind& aKind) {
@@ -81,7 +81,7 @@
   aOut.mService = &deployment.mServices.at(service);
   aOut.mKind = FindKind(*aOut.mService, aEvent.method(), aEvent.path());
   if (aOut.mKind == nullptr) {
-    const bool known = TakesPath(*aOut.mService, aEvent.path());
+    const bool known = AcceptsPath(*aOut.mService, aEvent.path());
     Refuse(aContext,
            aEvent,
            { known ? kMethodNotAllowed : kNotFound,
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -101,7 +101,7 @@
       std::max(ExpectedWait(service, aRequest), kMinRetryAfter) });
 }
 
-void NoteServed(Context& aContext, const Request& aRequest)
+void RecordLatency(Context& aContext, const Request& aRequest)
 {
   const Deployment& deployment = aContext.mState.mDeployment;
   burn::Series& series =
@@ -136,7 +136,7 @@
     accept.set_request(aRequest.mId);
     accept.set_attempt(aEvent.attempt());
     accept.set_close_connection(aContext.mState.mStopping);
-    NoteServed(aContext, aRequest);
+    RecordLatency(aContext, aRequest);
   }
   Forget(aContext, aRequest.mId);
 }
@@ -156,12 +156,12 @@
   situation.mOverloaded = false;
   situation.mDeadline = aContext.mNow + 1;
   if (!can || !retries::MayRetry(service.mRetries, situation, aContext.mNow)) {
-    Break(aContext, aRequest);
+    BreakClientConnection(aContext, aRequest);
     return;
   }
   const std::optional<std::size_t> target = PickUntried(aContext, aRequest);
   if (!target) {
-    Break(aContext, aRequest);
+    BreakClientConnection(aContext, aRequest);
     return;
   }
   aContext.Count("resumes");
@@ -176,7 +176,7 @@
 {
   switch (aEvent.end()) {
     case wire::END_COMPLETE:
-      NoteServed(aContext, aRequest);
+      RecordLatency(aContext, aRequest);
       Forget(aContext, aRequest.mId);
       break;
     case wire::END_CLIENT_GONE:
@@ -241,7 +241,7 @@
 
 } // namespace
 
-void Break(Context& aContext, const Request& aRequest)
+void BreakClientConnection(Context& aContext, const Request& aRequest)
 {
   aContext.Count("answers_broken");
   aContext.Add().mutable_break_connection()->set_request(aRequest.mId);
@@ -268,7 +268,7 @@
       FindAttempt(found->second, aEvent.attempt()) != nullptr) {
     EndAttempt(aContext, found->second, aEvent);
   }
-  Pump(aContext, service);
+  DispatchQueued(aContext, service);
 }
 
 } // namespace geraniumpond::node
--- a/src/node/attempts.cpp
+++ b/src/node/attempts.cpp
@@ -7,8 +7,8 @@
 constexpr std::uint32_t kFirstServerError = 500;
 // Non-idempotent requests reuse only connections that received a response this
 // recently: on a stale connection their outcome could become unknown.
-constexpr Micros kProvedAlive = 200 * kMillisecond;
-constexpr Micros kAnyIdle = 30 * kSecond;
+constexpr Micros kMaxIdleIfNotIdempotent = 200 * kMillisecond;
+constexpr Micros kMaxIdleIfIdempotent = 30 * kSecond;
 // A hedged attempt starts after this multiple of the usual latency.
 constexpr double kHedgeAfter = 3.0;
 
@@ -103,7 +103,8 @@
   dispatch.set_caller(aRequest.mCaller);
   dispatch.set_kind(aRequest.mKind);
   dispatch.set_deadline_us(aRequest.mDeadline);
-  dispatch.set_max_idle_us(aRequest.mIdempotent ? kAnyIdle : kProvedAlive);
+  dispatch.set_max_idle_us(aRequest.mIdempotent ? kMaxIdleIfIdempotent
+                                                : kMaxIdleIfNotIdempotent);
   dispatch.set_buffer_answer(!aRequest.mKey.empty());
   if (aRequest.mAccepted != 0) {
     dispatch.set_range_from(aRequest.mResumeFrom);
@@ -135,7 +136,7 @@
   const bool resumed = request.mAccepted == aEvent.attempt();
   if (resumed && !aEvent.range_matches()) {
     Drop(aContext, request.mId, aEvent.attempt());
-    Break(aContext, request);
+    BreakClientConnection(aContext, request);
     return;
   }
   if (request.mAccepted != 0 && !resumed) {
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -50,7 +50,7 @@
 
 // Reconstructs the full version from a push. A host without the base of the
 // delta requests the full text.
-std::optional<wire::DeploymentVersion> Unpack(
+std::optional<wire::DeploymentVersion> DecodePush(
   Context& aContext,
   const std::string& aFrom,
   const wire::DeploymentPush& aMessage)
@@ -122,12 +122,13 @@
   SendTo(aContext, aTo, std::move(message));
 }
 
-void SpreadDeployment(Context& aContext, bool aAcross)
+void PushDeployment(Context& aContext, bool aAcross)
 {
   const wire::DeploymentPush push = NewPush(aContext.mState);
-  ForEachSpread(aContext, aAcross, [&](const std::string& aHost, bool aRelay) {
-    SendPush(aContext, aHost, push, aRelay);
-  });
+  ForEachPushRecipient(
+    aContext, aAcross, [&](const std::string& aHost, bool aRelay) {
+      SendPush(aContext, aHost, push, aRelay);
+    });
 }
 
 void HandleDeploymentPush(Context& aContext,
@@ -140,7 +141,7 @@
     state.mQuorumWord.insert(aFrom);
   }
   const std::optional<wire::DeploymentVersion> version =
-    Unpack(aContext, aFrom, aMessage);
+    DecodePush(aContext, aFrom, aMessage);
   if (version) {
     AdoptDeployment(aContext, *version);
   }
@@ -149,7 +150,7 @@
     return;
   }
   if (aMessage.relay()) {
-    SpreadDeployment(aContext, false);
+    PushDeployment(aContext, false);
   }
   // Report the version now in force to the control hosts immediately.
   for (const wire::Peer& voter : state.mSettings.voters()) {
@@ -159,7 +160,7 @@
   }
 }
 
-void AskDeployment(Context& aContext)
+void RequestDeployment(Context& aContext)
 {
   for (const wire::Peer& voter : aContext.mState.mSettings.voters()) {
     if (voter.id() == aContext.Self()) {
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -175,7 +175,7 @@
   const std::uint64_t id = aRequest.mId;
   // Dispatching from the queue may destroy the request; do not use the
   // reference afterwards.
-  Pump(aContext, std::string(aRequest.mService));
+  DispatchQueued(aContext, std::string(aRequest.mService));
   const auto found = state.mRequests.find(id);
   if (found != state.mRequests.end() &&
       found->second.mPhase == Phase::Waiting) {
@@ -183,7 +183,7 @@
   }
 }
 
-void Pump(Context& aContext, const std::string& aService)
+void DispatchQueued(Context& aContext, const std::string& aService)
 {
   State& state = aContext.mState;
   const auto found = state.mServices.find(aService);
--- a/src/node/facts.cpp
+++ b/src/node/facts.cpp
@@ -13,7 +13,7 @@
 // that consider each other gone merge again after the network heals.
 constexpr std::uint64_t kSeedEvery = 4;
 // Maximum number of targets of one service that an entry host uses.
-constexpr std::size_t kSubset = 64;
+constexpr std::size_t kMaxTargetsPerService = 64;
 
 void Push(Context& aContext,
           const std::string& aTo,
@@ -40,9 +40,10 @@
   if (aFacts.empty()) {
     return;
   }
-  ForEachSpread(aContext, aAcross, [&](const std::string& aHost, bool aRelay) {
-    Push(aContext, aHost, aFacts, aRelay);
-  });
+  ForEachPushRecipient(
+    aContext, aAcross, [&](const std::string& aHost, bool aRelay) {
+      Push(aContext, aHost, aFacts, aRelay);
+    });
 }
 
 // Whether a fact claims that the running incarnation of this host is gone.
@@ -55,7 +56,7 @@
 
 // Decides for each target of the service whether this host is the entry host
 // that prefers it.
-void AssignHomes(State& aState, const std::string& aService)
+void UpdatePreferredTargets(State& aState, const std::string& aService)
 {
   const auto rules = aState.mDeployment.mServices.find(aService);
   if (rules == aState.mDeployment.mServices.end()) {
@@ -74,7 +75,7 @@
   }
 }
 
-void Changed(Context& aContext, const wire::Fact& aFact)
+void HandleFactChange(Context& aContext, const wire::Fact& aFact)
 {
   if (aFact.kind() == wire::FACT_TARGET) {
     SyncTargets(aContext, aFact.service());
@@ -82,7 +83,7 @@
   }
   // The entry hosts of each service depend on the set of known hosts.
   for (const auto& [name, service] : aContext.mState.mServices) {
-    AssignHomes(aContext.mState, name);
+    UpdatePreferredTargets(aContext.mState, name);
   }
 }
 
@@ -99,7 +100,7 @@
     const wire::Fact now =
       *membership::Find(state.mDirectory, membership::KeyOf(fact));
     changed.push_back(now);
-    Changed(aContext, now);
+    HandleFactChange(aContext, now);
     if (MustRefute(state, now)) {
       AnnounceSelf(aContext);
     }
@@ -214,8 +215,8 @@
 // Targets that this entry host uses: all of them for a small service, otherwise
 // a subset chosen by rendezvous hashing, so that every target is used by about
 // the same number of entry hosts.
-std::vector<const wire::Fact*> HeldTargets(const State& aState,
-                                           const std::string& aService)
+std::vector<const wire::Fact*> SelectTargets(const State& aState,
+                                             const std::string& aService)
 {
   std::vector<const wire::Fact*> live;
   for (const wire::Fact* fact :
@@ -224,7 +225,7 @@
       live.push_back(fact);
     }
   }
-  if (live.size() <= kSubset) {
+  if (live.size() <= kMaxTargetsPerService) {
     return live;
   }
   const std::uint64_t seed = Hash64(aState.mSettings.id());
@@ -233,15 +234,16 @@
             [seed](const wire::Fact* aLeft, const wire::Fact* aRight) {
               return Hash64(aLeft->id(), seed) > Hash64(aRight->id(), seed);
             });
-  live.resize(kSubset);
+  live.resize(kMaxTargetsPerService);
   return live;
 }
 
 } // namespace
 
-void ForEachSpread(Context& aContext,
-                   bool aAcross,
-                   const std::function<void(const std::string&, bool)>& aSend)
+void ForEachPushRecipient(
+  Context& aContext,
+  bool aAcross,
+  const std::function<void(const std::string&, bool)>& aSend)
 {
   const membership::Spread spread =
     membership::SpreadFrom(aContext.mState.mDirectory,
@@ -267,7 +269,7 @@
   }
   const wire::Fact now =
     *membership::Find(state.mDirectory, membership::KeyOf(aFact));
-  Changed(aContext, now);
+  HandleFactChange(aContext, now);
   Spread(aContext, { now }, true);
 }
 
@@ -354,14 +356,14 @@
   }
   routing::TargetSet& set = service->second.mTargets;
   std::vector<routing::Target> next;
-  for (const wire::Fact* fact : HeldTargets(state, aService)) {
+  for (const wire::Fact* fact : SelectTargets(state, aService)) {
     const routing::Target* known = routing::Find(set, fact->id());
     next.push_back(known == nullptr ? NewTarget(*fact) : *known);
     UpdateTarget(next.back(), *fact);
   }
   set.mTargets = std::move(next);
-  AssignHomes(state, aService);
-  Pump(aContext, aService);
+  UpdatePreferredTargets(state, aService);
+  DispatchQueued(aContext, aService);
 }
 
 } // namespace geraniumpond::node
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -8,7 +8,7 @@
 
 constexpr Micros kJoinInterval = 500 * kMillisecond;
 // A member is removed only after it has been silent for this long.
-constexpr Micros kReplaceAfter = 3 * kSecond;
+constexpr Micros kRemovableAfter = 3 * kSecond;
 // Maximum number of entries that a learner may lag behind to become a voter.
 constexpr std::uint64_t kCaughtUp = 10;
 
@@ -46,7 +46,7 @@
     if (latest != nullptr && latest->version() > state.mVersion.version()) {
       AdoptDeployment(aContext, *latest);
       if (consensus::IsLeader(state.mGroup)) {
-        SpreadDeployment(aContext, true);
+        PushDeployment(aContext, true);
       }
     }
   }
@@ -62,7 +62,7 @@
   }
 }
 
-void Install(Context& aContext, const wire::Snapshot& aSnapshot)
+void InstallSnapshot(Context& aContext, const wire::Snapshot& aSnapshot)
 {
   State& state = aContext.mState;
   if (aSnapshot.state().empty()) {
@@ -117,14 +117,14 @@
   }
 }
 
-void Change(Context& aContext, const wire::Membership& aNext)
+void ProposeMembership(Context& aContext, const wire::Membership& aNext)
 {
   consensus::Output output;
   const Result<std::uint64_t> index = consensus::ChangeMembership(
     aContext.mState.mGroup, aContext.mNow, aNext, output);
   if (index) {
     aContext.Count("membership_changes");
-    Drain(aContext, std::move(output));
+    ProcessConsensusOutput(aContext, std::move(output));
   }
 }
 
@@ -146,12 +146,12 @@
       }
     }
     aContext.Log(kInfo, "control member " + member.id() + " promoted to voter");
-    Change(aContext, next);
+    ProposeMembership(aContext, next);
     return;
   }
 }
 
-void AskToJoin(Context& aContext)
+void SendJoinRequest(Context& aContext)
 {
   State& state = aContext.mState;
   if (aContext.mNow < state.mJoinAt) {
@@ -184,7 +184,7 @@
   }
   state.mGroup = consensus::Open(
     aEvent.settings().id(), recovered, aContext.mNow, aContext.NextRandom());
-  Install(aContext, recovered.mSnapshot);
+  InstallSnapshot(aContext, recovered.mSnapshot);
 }
 
 void TickGroup(Context& aContext)
@@ -195,9 +195,9 @@
   }
   consensus::Output output;
   consensus::Tick(state.mGroup, aContext.mNow, aContext.NextRandom(), output);
-  Drain(aContext, std::move(output));
+  ProcessConsensusOutput(aContext, std::move(output));
   if (state.mGroup.mRole == consensus::Role::Learner && !state.mGroup.mFailed) {
-    AskToJoin(aContext);
+    SendJoinRequest(aContext);
   }
   if (consensus::IsLeader(state.mGroup)) {
     PromoteLearner(aContext);
@@ -214,14 +214,14 @@
   consensus::Output output;
   consensus::Receive(
     state.mGroup, aContext.mNow, aContext.NextRandom(), aMessage, output);
-  Drain(aContext, std::move(output));
+  ProcessConsensusOutput(aContext, std::move(output));
 }
 
 void HandleSync(Context& aContext, std::uint64_t aSequence)
 {
   consensus::Output output;
   consensus::MarkSynced(aContext.mState.mGroup, aSequence, output);
-  Drain(aContext, std::move(output));
+  ProcessConsensusOutput(aContext, std::move(output));
 }
 
 void HandleSyncFailure(Context& aContext, const std::string& aReason)
@@ -248,11 +248,12 @@
     }
     // The host rejoins with a replaced disk; remove its old member first.
     const Micros heard = state.mGroup.mProgress[joiner.id()].mHeardAt;
-    if (aContext.mNow - heard > kReplaceAfter) {
+    if (aContext.mNow - heard > kRemovableAfter) {
       aContext.Log(kWarning,
                    "control member " + joiner.id() + " has a new disk");
-      Change(aContext,
-             consensus::WithoutMember(state.mGroup.mMembership, joiner.id()));
+      ProposeMembership(
+        aContext,
+        consensus::WithoutMember(state.mGroup.mMembership, joiner.id()));
     }
     return;
   }
@@ -260,14 +261,14 @@
   wire::Member& added = *next.add_members();
   added = joiner;
   added.set_voter(false);
-  Change(aContext, next);
+  ProposeMembership(aContext, next);
 }
 
-void Drain(Context& aContext, consensus::Output aOutput)
+void ProcessConsensusOutput(Context& aContext, consensus::Output aOutput)
 {
   State& state = aContext.mState;
   if (aOutput.mInstall) {
-    Install(aContext, *aOutput.mInstall);
+    InstallSnapshot(aContext, *aOutput.mInstall);
   }
   for (consensus::Write& write : aOutput.mWrites) {
     Persist(aContext, write);
@@ -283,7 +284,7 @@
     consensus::Output output;
     consensus::TakeSnapshot(
       state.mGroup, control::Save(state.mControl), output);
-    Drain(aContext, std::move(output));
+    ProcessConsensusOutput(aContext, std::move(output));
   }
 }
 
--- a/src/node/keys.cpp
+++ b/src/node/keys.cpp
@@ -13,7 +13,7 @@
 constexpr Micros kLastPoll = 500 * kMillisecond;
 constexpr int kMaxDoublings = 5;
 // A completion is retried this long, to survive long control group outages.
-constexpr Micros kCompletionPatience = 10 * kMinute;
+constexpr Micros kCompletionTimeout = 10 * kMinute;
 
 // The owner is gone once its host is gone or runs another incarnation.
 bool OwnerIsGone(const State& aState, const wire::KeyRecord& aRecord)
@@ -94,9 +94,9 @@
 
 // Releases a claim that was granted after the client disconnected or the
 // deadline passed.
-void DropOrphan(Context& aContext,
-                const wire::ClaimKey& aClaim,
-                const wire::KeyRecord& aRecord)
+void ReleaseOrphanedClaim(Context& aContext,
+                          const wire::ClaimKey& aClaim,
+                          const wire::KeyRecord& aRecord)
 {
   const bool mine =
     aRecord.phase() == wire::KEY_CLAIMED &&
@@ -125,7 +125,7 @@
   claim.set_expires_at_us(aContext.mNow +
                           aContext.mState.mDeployment.mKeyRetention);
   proposal.mRequest = aRequest.mId;
-  proposal.mGiveUpAt = aRequest.mDeadline + kCompletionPatience;
+  proposal.mGiveUpAt = aRequest.mDeadline + kCompletionTimeout;
   Submit(aContext, std::move(proposal));
 }
 
@@ -140,7 +140,7 @@
   State& state = aContext.mState;
   const auto found = state.mRequests.find(aRequest);
   if (found == state.mRequests.end()) {
-    DropOrphan(aContext, aCommand.claim(), aRecord);
+    ReleaseOrphanedClaim(aContext, aCommand.claim(), aRecord);
     return;
   }
   Request& request = found->second;
@@ -179,7 +179,7 @@
   if (aAnswer != nullptr) {
     *complete.mutable_answer() = *aAnswer;
   }
-  proposal.mGiveUpAt = aContext.mNow + kCompletionPatience;
+  proposal.mGiveUpAt = aContext.mNow + kCompletionTimeout;
   Submit(aContext, std::move(proposal));
 }
 
@@ -187,7 +187,7 @@
 {
   Proposal proposal;
   SetOwner(aContext, *proposal.mCommand.mutable_release(), aRequest);
-  proposal.mGiveUpAt = aContext.mNow + kCompletionPatience;
+  proposal.mGiveUpAt = aContext.mNow + kCompletionTimeout;
   Submit(aContext, std::move(proposal));
 }
 
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -19,7 +19,7 @@
 
 // Recipients of heartbeats. Ring neighbours detect each other's failures;
 // control hosts only learn the deployment version in force.
-std::set<std::string> Audience(const State& aState)
+std::set<std::string> HeartbeatRecipients(const State& aState)
 {
   std::set<std::string> audience;
   for (const wire::Fact* host : membership::Successors(
@@ -134,7 +134,7 @@
   State& state = aContext.mState;
   state.mHeartbeatAt = aContext.mNow + kHeartbeatInterval;
   ++state.mHeartbeatNumber;
-  for (const std::string& host : Audience(state)) {
+  for (const std::string& host : HeartbeatRecipients(state)) {
     SendHeartbeat(aContext, host);
   }
   CheckHosts(aContext);
--- a/src/node/proposals.cpp
+++ b/src/node/proposals.cpp
@@ -156,7 +156,7 @@
   state.mCommitWaiters[index.value()] = { state.mGroup.mTerm,
                                           aFrom,
                                           aMessage.id() };
-  Drain(aContext, std::move(output));
+  ProcessConsensusOutput(aContext, std::move(output));
 }
 
 void HandleProposalReply(Context& aContext, const wire::ProposalReply& aMessage)
--- a/src/node/step.cpp
+++ b/src/node/step.cpp
@@ -28,7 +28,7 @@
   if (aEvent.has_cached()) {
     AdoptDeployment(aContext, aEvent.cached());
   }
-  AskDeployment(aContext);
+  RequestDeployment(aContext);
   Heartbeat(aContext);
 }
 
@@ -54,7 +54,7 @@
     CheckReady(aContext);
     // Ask only at the heartbeat interval: asking upon each reply would loop.
     if (!aContext.mState.mReady) {
-      AskDeployment(aContext);
+      RequestDeployment(aContext);
     }
   }
   if (aContext.mNow >= aContext.mState.mGossipAt) {
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -33,7 +33,7 @@
   if (state.mSettings.control()) {
     consensus::Output output;
     consensus::TransferLeadership(state.mGroup, aContext.mNow, output);
-    Drain(aContext, std::move(output));
+    ProcessConsensusOutput(aContext, std::move(output));
   }
 }
 
--- a/src/node/targets.cpp
+++ b/src/node/targets.cpp
@@ -40,7 +40,7 @@
   return fact;
 }
 
-bool SaysNothingNew(const wire::Fact& aKnown, const wire::Fact& aFact)
+bool IsRedundant(const wire::Fact& aKnown, const wire::Fact& aFact)
 {
   return aKnown.incarnation() == aFact.incarnation() &&
          aKnown.address() == aFact.address() &&
@@ -60,7 +60,7 @@
   const wire::Fact* known = membership::Find(state.mDirectory, key);
   const wire::Fact fact = FactOf(aContext, aEvent, known);
   state.mLeases[key] = aContext.mNow + aService.mLease;
-  if (known == nullptr || !SaysNothingNew(*known, fact)) {
+  if (known == nullptr || !IsRedundant(*known, fact)) {
     Publish(aContext, fact);
   }
 }
