--- a/include/geraniumpond/node.h
+++ b/include/geraniumpond/node.h
@@ -131,7 +131,7 @@
   Micros mHeardAt = 0;
   Micros mExpectedSince = 0;
   std::uint64_t mVersion = 0;
-  std::uint64_t mNumberSeen = 0;
+  std::uint64_t mLastHeartbeatNumber = 0;
 };
 
 /// \brief Counters exported by /metrics.
@@ -168,7 +168,7 @@
   wire::DeploymentVersion mVersion;
   /// Previous version in force; the base for deltas.
   wire::DeploymentVersion mPreviousVersion;
-  std::set<std::string> mQuorumWord;
+  std::set<std::string> mConfirmingHosts;
   bool mReady = false;
 
   std::map<std::uint64_t, Request> mRequests;
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -138,7 +138,7 @@
   State& state = aContext.mState;
   const std::uint64_t before = state.mVersion.version();
   if (IsControlHost(state, aFrom)) {
-    state.mQuorumWord.insert(aFrom);
+    state.mConfirmingHosts.insert(aFrom);
   }
   const std::optional<wire::DeploymentVersion> version =
     DecodePush(aContext, aFrom, aMessage);
@@ -179,13 +179,14 @@
   if (state.mReady || state.mVersion.version() == 0) {
     return;
   }
-  const bool word = state.mQuorumWord.size() >= Majority(state);
+  const bool confirmed = state.mConfirmingHosts.size() >= Majority(state);
   const bool waited = aContext.mNow - state.mStartedAt >= kQuorumWait;
-  if (word || waited) {
+  if (confirmed || waited) {
     state.mReady = true;
     aContext.Log(kInfo,
-                 std::string("ready, ") +
-                   (word ? "confirmed by a quorum" : "quorum wait timed out"));
+                 std::string("ready, ") + (confirmed
+                                             ? "confirmed by a quorum"
+                                             : "quorum wait timed out"));
   }
 }
 
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -125,7 +125,7 @@
   wire::Heartbeat& heartbeat = *message.mutable_heartbeat();
   heartbeat.set_version(state.mVersion.version());
   heartbeat.set_number(state.mHeartbeatNumber);
-  heartbeat.set_echo(state.mPeers[aHost].mNumberSeen);
+  heartbeat.set_echo(state.mPeers[aHost].mLastHeartbeatNumber);
   SendTo(aContext, aHost, std::move(message));
 }
 
@@ -158,7 +158,8 @@
   }
   peer.mHeardAt = aContext.mNow;
   peer.mVersion = std::max(peer.mVersion, aMessage.version());
-  peer.mNumberSeen = std::max(peer.mNumberSeen, aMessage.number());
+  peer.mLastHeartbeatNumber =
+    std::max(peer.mLastHeartbeatNumber, aMessage.number());
   if (aMessage.version() < state.mVersion.version()) {
     aContext.Count("deployments_repaired");
     SendDeployment(aContext, aFrom, false);
