--- a/include/geraniumpond/views.h
+++ b/include/geraniumpond/views.h
@@ -14,7 +14,7 @@
   bool mOperator = false;
   std::string mCaller;
 
-  [[nodiscard]] bool Sees(const std::string& aCaller) const noexcept
+  [[nodiscard]] bool CanSee(const std::string& aCaller) const noexcept
   {
     return mOperator || (!mCaller.empty() && mCaller == aCaller);
   }
@@ -22,8 +22,8 @@
 
 /// \brief Looks up the viewer by the SHA-256 of its token; an unknown token
 /// gives a viewer without rights.
-[[nodiscard]] Viewer ViewerOf(const node::State& aState,
-                              const std::string& aTokenSha256);
+[[nodiscard]] Viewer FindViewer(const node::State& aState,
+                                const std::string& aTokenSha256);
 
 /// \brief Entry host addresses for clients of a service, and their time to
 /// live.
--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -244,7 +244,7 @@
   bool allowed = false;
   const std::string body =
     aRuntime.Read([&](const node::State& aState, Micros aNow) -> std::string {
-      const views::Viewer viewer = views::ViewerOf(aState, token);
+      const views::Viewer viewer = views::FindViewer(aState, token);
       allowed =
         viewer.mOperator || (!aRoute.mOperatorOnly && !viewer.mCaller.empty());
       return allowed ? aRoute.mView(aState, viewer, aCall, aNow) : "";
--- a/src/node/views.cpp
+++ b/src/node/views.cpp
@@ -137,7 +137,7 @@
 
 } // namespace
 
-Viewer ViewerOf(const node::State& aState, const std::string& aTokenSha256)
+Viewer FindViewer(const node::State& aState, const std::string& aTokenSha256)
 {
   Viewer viewer;
   viewer.mOperator = aTokenSha256 == aState.mSettings.operator_token_sha256();
@@ -207,7 +207,7 @@
 {
   Array calls;
   for (const auto& [id, request] : aState.mRequests) {
-    if (!aViewer.Sees(request.mCaller)) {
+    if (!aViewer.CanSee(request.mCaller)) {
       continue;
     }
     Object call;
@@ -272,7 +272,7 @@
 {
   Array series;
   for (const auto& [key, entry] : aState.mBook) {
-    if (aViewer.Sees(std::get<2>(key))) {
+    if (aViewer.CanSee(std::get<2>(key))) {
       series.add(SeriesObject(key, entry, aNow));
     }
   }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -108,7 +108,7 @@
                     { "stranger", false } };
     for (const auto& viewer : viewers) {
       const views::Viewer view =
-        views::ViewerOf(state, Sha256Hex(viewer.mToken));
+        views::FindViewer(state, Sha256Hex(viewer.mToken));
       const std::string shown =
         views::Calls(state, view) + views::Burn(state, view, mWorld->mNow);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -116,7 +116,7 @@
     }
     const std::string metrics = views::Metrics(state, mWorld->mNow);
     CPPUNIT_ASSERT(metrics.find("school") == std::string::npos);
-    const views::Viewer stranger = views::ViewerOf(state, "");
+    const views::Viewer stranger = views::FindViewer(state, "");
     CPPUNIT_ASSERT(views::Targets(state, stranger, mWorld->mNow).find("t0") ==
                    std::string::npos);
   }
