--- a/tests/fakes/world.h
+++ b/tests/fakes/world.h
@@ -11,13 +11,13 @@
 #include <string>
 #include <vector>
 
-/// \brief A few hosts' reducers around one queue of timed events, with a fake
-/// disk and a fake target; for focused failure tests and the safety search.
+/// \brief Discrete-event simulation of a few hosts with fake disks and a fake
+/// target, for failure tests and the safety search.
 ///
-/// No model of a network beyond a delay and the faults that a test asks for.
+/// The network is modelled only by a delay and the faults that a test injects.
 namespace geraniumpond::fakes {
 
-/// \brief How often faults happen, as shares of messages or attempts.
+/// \brief Fault probabilities, per message or per attempt.
 struct FaultRates
 {
   double mLoss = 0;
@@ -31,7 +31,7 @@
   double mTargetHangs = 0;
 };
 
-/// \brief What a host's disk holds for good, and what is not yet synced.
+/// \brief Durable content of a host's disk, and writes not yet synced.
 struct FakeDisk
 {
   wire::HardState mHard;
@@ -50,11 +50,11 @@
   bool mUp = false;
   std::uint64_t mIncarnation = 0;
   Micros mTimerAt = 0;
-  /// Highest deployment version ever in force here since its disk is new.
+  /// Highest deployment version in force here since the disk was replaced.
   std::uint64_t mHighestVersion = 0;
 };
 
-/// \brief What one request was told in the end.
+/// \brief Final response to one request.
 struct Told
 {
   std::uint32_t mStatus = 0;
@@ -64,7 +64,7 @@
   Micros mAt = 0;
 };
 
-/// \brief A request as the test sent it.
+/// \brief A request sent by a test, and its result.
 struct SentRequest
 {
   std::string mHost;
@@ -74,7 +74,7 @@
   int mRuns = 0;
 };
 
-/// \brief What an operator was told.
+/// \brief Response to an operator's request.
 struct OperatorTold
 {
   std::uint32_t mStatus = 0;
@@ -86,17 +86,17 @@
 public:
   explicit World(std::uint64_t aSeed);
 
-  /// \brief Three control and some entry hosts; founding disks.
+  /// \brief Adds control and entry hosts; the control hosts found the group.
   void AddHosts(int aControls, int aEntries);
   void Start(const std::string& aHost);
   void StartAll();
 
-  /// \brief Stops a host at once; what was not synced is lost.
+  /// \brief Stops a host immediately; unsynced writes are lost.
   void Crash(const std::string& aHost);
   void ReplaceDisk(const std::string& aHost);
   void FailDisk(const std::string& aHost);
 
-  /// \brief Cuts all links between two groups; everyone else sees both.
+  /// \brief Cuts all links between the given hosts and the others.
   void Partition(const std::set<std::string>& aOneSide);
   void Heal() { mOneSide.clear(); }
 
@@ -118,9 +118,9 @@
                       const std::string& aTarget);
   void Stop(const std::string& aHost);
 
-  /// \brief Runs events until a time; calls mAfterStep after each one.
+  /// \brief Processes events for the given time; calls mAfterStep after each.
   void RunFor(Micros aTime);
-  /// \brief Runs until the condition holds; false when the time is over.
+  /// \brief Processes events until the condition holds; false on timeout.
   bool RunUntil(const std::function<bool()>& aCondition, Micros aLimit);
 
   [[nodiscard]] std::string Leader() const;
@@ -137,10 +137,10 @@
   FaultRates mRates;
   std::map<std::uint64_t, SentRequest> mRequests;
   std::map<std::uint64_t, OperatorTold> mOperations;
-  /// Runs at targets by scoped key, and by request for unkeyed ones.
+  /// Executions by scoped idempotency key.
   std::map<std::string, int> mRunsByKey;
   std::map<std::string, int> mRunsByTarget;
-  /// Broken promises, in the order in which they were seen.
+  /// Violated invariants, in order of detection.
   std::vector<std::string> mViolations;
   std::function<void()> mAfterStep;
   std::uint64_t mMessages = 0;
@@ -187,8 +187,8 @@
   std::map<std::uint64_t, wire::StoredAnswer> mKept;
 };
 
-/// \brief A small deployment: one consent service with a keyed kind "sign"
-/// and an idempotent kind "check"; callers "school" and "rival".
+/// \brief A deployment of one service, "consent", with a keyed kind "sign" and
+/// an idempotent kind "check"; client accounts "school" and "rival".
 [[nodiscard]] std::string SmallDeployment(int aEdition = 1);
 
 } // namespace geraniumpond::fakes
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -164,9 +164,9 @@
     ExpectTold(id, 504, "not-run");
     CPPUNIT_ASSERT(mWorld->mRequests[id].mTold->mAt - start <=
                    2100 * kMillisecond);
-    // What needs no record is served all the same.
+    // Requests without an idempotency key do not need the control group.
     ExpectTold(mWorld->Request("e0", "", "", "/consent/roster"), 200, "ran");
-    // The claim may still commit later; it is released, not left behind.
+    // The pending claim may still commit; it must then be released.
     mWorld->Start("c0");
     mWorld->Start("c1");
     mWorld->RunFor(6 * kSecond);
@@ -217,7 +217,7 @@
     mWorld->Drain("c1", "consent", "t0");
     CPPUNIT_ASSERT(
       mWorld->RunUntil([&] { return AllSeeDrain("t0"); }, 2 * kSecond));
-    // A renewed announce of the target does not undo it.
+    // A renewed registration of the target does not end the drain.
     mWorld->Announce("e0", "consent", "t0");
     mWorld->RunFor(3 * kSecond);
     CPPUNIT_ASSERT(AllSeeDrain("t0"));
@@ -275,7 +275,7 @@
     }
     mWorld->RunFor(3 * kSecond);
     CPPUNIT_ASSERT_EQUAL(kChanges, mWorld->StateOf("c1").mVersion.version());
-    // An outcome from before the snapshot is told again.
+    // Outcomes from before the snapshot are still returned.
     const std::uint64_t again =
       mWorld->Apply("c2", "change-2", 1, SmallDeployment(2));
     ExpectOperator(again, 200);
@@ -350,7 +350,7 @@
     CPPUNIT_ASSERT(mWorld->mHosts["e0"].mUp);
     CPPUNIT_ASSERT(mWorld->RunUntil([&] { return !mWorld->mHosts["e0"].mUp; },
                                     10 * kSecond));
-    // No record was left behind.
+    // The key's record was completed before the host exited.
     ExpectTold(mWorld->Request("e1", "k"), 200, "ran");
   }
 
