--- a/bench/safety_search.cpp
+++ b/bench/safety_search.cpp
@@ -315,8 +315,8 @@
           entry.index(), std::pair(entry.term(), entry.command()));
         if (!fresh && (known->second.first != entry.term() ||
                        known->second.second != entry.command())) {
-          mWorld.Fail("two committed entries at " +
-                      std::to_string(entry.index()));
+          mWorld.AddViolation("two committed entries at " +
+                              std::to_string(entry.index()));
         }
         checked = entry.index();
       }
@@ -342,15 +342,16 @@
       versions.insert(host.mState.mVersion.version());
     }
     if (versions.size() != 1) {
-      mWorld.Fail("hosts differ in version after the faults");
+      mWorld.AddViolation("hosts differ in version after the faults");
     }
     if (mWorld.Leader().empty()) {
-      mWorld.Fail("no leader after the faults");
+      mWorld.AddViolation("no leader after the faults");
     }
     for (const auto& [id, request] : mWorld.mRequests) {
       const auto& host = mWorld.mHosts.at(request.mHost);
-      if (!request.mTold && host.mIncarnation == request.mIncarnation) {
-        mWorld.Fail("request " + std::to_string(id) + " was never answered");
+      if (!request.mAnswer && host.mIncarnation == request.mIncarnation) {
+        mWorld.AddViolation("request " + std::to_string(id) +
+                            " was never answered");
       }
       CheckAnswer(id, request);
     }
@@ -359,16 +360,16 @@
 
   void CheckAnswer(std::uint64_t aId, const fakes::SentRequest& aRequest)
   {
-    if (!aRequest.mTold || aRequest.mTold->mOutcome != "ran") {
+    if (!aRequest.mAnswer || aRequest.mAnswer->mOutcome != "ran") {
       return;
     }
     const std::string prefix = "run of ";
-    const std::string& body = aRequest.mTold->mBody;
+    const std::string& body = aRequest.mAnswer->mBody;
     const auto ran =
       mWorld.mRequests.find(std::stoull("0" + body.substr(prefix.size())));
     if (ran == mWorld.mRequests.end() || ran->second.mKey != aRequest.mKey) {
-      mWorld.Fail("request " + std::to_string(aId) +
-                  " was given another one's answer");
+      mWorld.AddViolation("request " + std::to_string(aId) +
+                          " was given another one's answer");
     }
   }
 
@@ -379,25 +380,26 @@
       if (!host.mSettings.control()) {
         continue;
       }
-      for (const auto& [operation, told] : mWorld.mOperations) {
-        CheckOne(host.mState.mControl, told);
+      for (const auto& [operation, answer] : mWorld.mOperations) {
+        CheckOne(host.mState.mControl, answer);
       }
     }
   }
 
-  void CheckOne(const control::State& aState, const fakes::OperatorTold& aTold)
+  void CheckOne(const control::State& aState,
+                const fakes::OperatorAnswer& aAnswer)
   {
-    if (aTold.mStatus != 200 ||
-        aTold.mBody.find("\"accepted\":true") == std::string::npos) {
+    if (aAnswer.mStatus != 200 ||
+        aAnswer.mBody.find("\"accepted\":true") == std::string::npos) {
       return;
     }
     for (const auto& [change, outcome] : aState.mChanges) {
-      if (aTold.mBody.find("\"" + change + "\"") != std::string::npos &&
+      if (aAnswer.mBody.find("\"" + change + "\"") != std::string::npos &&
           outcome.accepted()) {
         return;
       }
     }
-    mWorld.Fail("an accepted change is gone: " + aTold.mBody);
+    mWorld.AddViolation("an accepted change is gone: " + aAnswer.mBody);
   }
 
   const Schedule& mSchedule;
--- a/tests/fakes/world.cpp
+++ b/tests/fakes/world.cpp
@@ -57,7 +57,7 @@
   return std::uniform_real_distribution<double>(0, 1)(mRandom);
 }
 
-void World::Fail(const std::string& aWhat)
+void World::AddViolation(const std::string& aWhat)
 {
   mViolations.push_back(std::to_string(mNow) + ": " + aWhat);
 }
@@ -301,15 +301,15 @@
 {
   const wire::DeploymentVersion& version = aHost.mState.mVersion;
   if (version.version() < aHost.mHighestVersion) {
-    Fail(aHost.mSettings.id() + " reverted to version " +
-         std::to_string(version.version()));
+    AddViolation(aHost.mSettings.id() + " reverted to version " +
+                 std::to_string(version.version()));
   }
   if (version.version() > aHost.mHighestVersion) {
     aHost.mHighestVersion = version.version();
     const auto [known, fresh] =
       mTextOfVersion.emplace(version.version(), version.text());
     if (!fresh && known->second != version.text()) {
-      Fail("two texts of version " + std::to_string(version.version()));
+      AddViolation("two texts of version " + std::to_string(version.version()));
     }
   }
   const consensus::State& group = aHost.mState.mGroup;
@@ -317,7 +317,7 @@
     const auto [leader, fresh] =
       mLeaderOfTerm.emplace(group.mTerm, aHost.mSettings.id());
     if (!fresh && leader->second != aHost.mSettings.id()) {
-      Fail("two leaders in term " + std::to_string(group.mTerm));
+      AddViolation("two leaders in term " + std::to_string(group.mTerm));
     }
   }
 }
@@ -343,17 +343,19 @@
       break;
     case wire::Effect::kAnswer: {
       const wire::Answer& answer = aEffect.answer();
-      Tell(answer.request(),
-           { answer.status(),
-             answer.outcome(),
-             answer.has_stored() ? answer.stored().body() : answer.reason(),
-             answer.retry_after_ms(),
-             mNow });
+      RecordAnswer(
+        answer.request(),
+        { answer.status(),
+          answer.outcome(),
+          answer.has_stored() ? answer.stored().body() : answer.reason(),
+          answer.retry_after_ms(),
+          mNow });
       break;
     }
     case wire::Effect::kAccept:
-      Tell(aEffect.accept().request(),
-           { 200, "ran", mKept[aEffect.accept().request()].body(), 0, mNow });
+      RecordAnswer(
+        aEffect.accept().request(),
+        { 200, "ran", mKept[aEffect.accept().request()].body(), 0, mNow });
       break;
     case wire::Effect::kOperation:
       mOperations[aEffect.operation().operation()] = {
@@ -429,7 +431,7 @@
                          static_cast<std::ptrdiff_t>(done));
 }
 
-void World::NoteRun(std::uint64_t aRequest, const wire::Dispatch& aDispatch)
+void World::RecordRun(std::uint64_t aRequest, const wire::Dispatch& aDispatch)
 {
   SentRequest& request = mRequests.at(aRequest);
   ++request.mRuns;
@@ -439,10 +441,11 @@
   }
   const std::string key = aDispatch.caller() + "/" + request.mKey;
   if (++mRunsByKey[key] > 1) {
-    Fail("key " + key + " ran twice");
+    AddViolation("key " + key + " ran twice");
   }
-  if (request.mTold && request.mTold->mOutcome == "not-run") {
-    Fail("request " + std::to_string(aRequest) + " ran after 'not run'");
+  if (request.mAnswer && request.mAnswer->mOutcome == "not-run") {
+    AddViolation("request " + std::to_string(aRequest) +
+                 " ran after 'not run'");
   }
 }
 
@@ -467,14 +470,14 @@
   } else if (falls(mRates.mTargetBreaksBeforeRun)) {
     ended.set_end(wire::END_BROKEN_BEFORE_HEAD);
   } else if (falls(mRates.mTargetBreaksAfterRun)) {
-    NoteRun(id, aDispatch);
+    RecordRun(id, aDispatch);
     ended.set_end(wire::END_BROKEN_BEFORE_HEAD);
   } else if (falls(mRates.mTargetHangs)) {
-    NoteRun(id, aDispatch);
+    RecordRun(id, aDispatch);
     ended.set_end(wire::END_TIMED_OUT);
     at = aDispatch.deadline_us() + 2 * kSecond;
   } else {
-    NoteRun(id, aDispatch);
+    RecordRun(id, aDispatch);
     ended.set_end(wire::END_COMPLETE);
     ended.set_status(200);
     wire::StoredAnswer& answer = *ended.mutable_answer();
@@ -492,17 +495,18 @@
   Post(aHost.mSettings.id(), at, std::move(event));
 }
 
-void World::Tell(std::uint64_t aRequest, Told aTold)
+void World::RecordAnswer(std::uint64_t aRequest, ClientAnswer aAnswer)
 {
   SentRequest& request = mRequests.at(aRequest);
-  if (request.mTold) {
-    Fail("request " + std::to_string(aRequest) + " answered twice");
+  if (request.mAnswer) {
+    AddViolation("request " + std::to_string(aRequest) + " answered twice");
     return;
   }
-  if (aTold.mOutcome == "not-run" && request.mRuns > 0) {
-    Fail("request " + std::to_string(aRequest) + " told 'not run' but ran");
+  if (aAnswer.mOutcome == "not-run" && request.mRuns > 0) {
+    AddViolation("request " + std::to_string(aRequest) +
+                 " told 'not run' but ran");
   }
-  request.mTold = std::move(aTold);
+  request.mAnswer = std::move(aAnswer);
 }
 
 } // namespace geraniumpond::fakes
--- a/tests/fakes/world.h
+++ b/tests/fakes/world.h
@@ -55,7 +55,7 @@
 };
 
 /// \brief Final response to one request.
-struct Told
+struct ClientAnswer
 {
   std::uint32_t mStatus = 0;
   std::string mOutcome;
@@ -70,12 +70,12 @@
   std::string mHost;
   std::uint64_t mIncarnation = 0;
   std::string mKey;
-  std::optional<Told> mTold;
+  std::optional<ClientAnswer> mAnswer;
   int mRuns = 0;
 };
 
 /// \brief Response to an operator's request.
-struct OperatorTold
+struct OperatorAnswer
 {
   std::uint32_t mStatus = 0;
   std::string mBody;
@@ -130,13 +130,13 @@
   }
   [[nodiscard]] double Chance();
   [[nodiscard]] std::uint64_t Word() { return mRandom(); }
-  void Fail(const std::string& aWhat);
+  void AddViolation(const std::string& aWhat);
 
   Micros mNow = 1000 * kSecond;
   std::map<std::string, FakeHost> mHosts;
   FaultRates mRates;
   std::map<std::uint64_t, SentRequest> mRequests;
-  std::map<std::uint64_t, OperatorTold> mOperations;
+  std::map<std::uint64_t, OperatorAnswer> mOperations;
   /// Executions by scoped idempotency key.
   std::map<std::string, int> mRunsByKey;
   std::map<std::string, int> mRunsByTarget;
@@ -170,8 +170,8 @@
   void Persist(FakeHost& aHost, const wire::Persist& aPersist);
   void Sync(FakeHost& aHost, std::uint64_t aSequence);
   void RunAttempt(const FakeHost& aHost, const wire::Dispatch& aDispatch);
-  void NoteRun(std::uint64_t aRequest, const wire::Dispatch& aDispatch);
-  void Tell(std::uint64_t aRequest, Told aTold);
+  void RecordRun(std::uint64_t aRequest, const wire::Dispatch& aDispatch);
+  void RecordAnswer(std::uint64_t aRequest, ClientAnswer aAnswer);
   void CheckVersions(FakeHost& aHost);
   [[nodiscard]] bool Cut(const std::string& aFrom,
                          const std::string& aTo) const;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -58,9 +58,9 @@
   void KeyedRequestRunsOnceAndAResendGetsItsAnswer()
   {
     const std::uint64_t first = mWorld->Request("e0", "k");
-    ExpectTold(first, 200, "ran");
+    ExpectAnswer(first, 200, "ran");
     const std::uint64_t again = mWorld->Request("e1", "k");
-    ExpectTold(again, 200, "ran");
+    ExpectAnswer(again, 200, "ran");
     CPPUNIT_ASSERT_EQUAL(1, mWorld->mRunsByKey["school/k"]);
     CPPUNIT_ASSERT_EQUAL(Body(first), Body(again));
   }
@@ -69,22 +69,22 @@
   {
     const std::uint64_t first = mWorld->Request("e0", "k");
     const std::uint64_t again = mWorld->Request("e1", "k");
-    ExpectTold(first, 200, "ran");
-    ExpectTold(again, 200, "ran");
+    ExpectAnswer(first, 200, "ran");
+    ExpectAnswer(again, 200, "ran");
     CPPUNIT_ASSERT_EQUAL(1, mWorld->mRunsByKey["school/k"]);
     CPPUNIT_ASSERT_EQUAL(Body(first), Body(again));
   }
 
   void KeyWithAnotherBodyIsRefused()
   {
-    ExpectTold(mWorld->Request("e0", "k", "one"), 200, "ran");
-    ExpectTold(mWorld->Request("e1", "k", "two"), 422, "not-run");
+    ExpectAnswer(mWorld->Request("e0", "k", "one"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "k", "two"), 422, "not-run");
   }
 
   void KeyOfOneCallerIsNothingToAnother()
   {
-    ExpectTold(mWorld->Request("e0", "k", "one"), 200, "ran");
-    ExpectTold(
+    ExpectAnswer(mWorld->Request("e0", "k", "one"), 200, "ran");
+    ExpectAnswer(
       mWorld->Request("e0", "k", "two", "/consent/permissions", "rival"),
       200,
       "ran");
@@ -93,7 +93,7 @@
 
   void ViewsShowACallerNothingOfAnother()
   {
-    ExpectTold(mWorld->Request("e0", "k", "one"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e0", "k", "one"), 200, "ran");
     mWorld->mRates.mTargetHangs = 1;
     mWorld->Request("e0", "open", "one");
     mWorld->RunFor(100 * kMillisecond);
@@ -124,10 +124,10 @@
   void LostEndIsUnknownAndNeverDispatchedAgain()
   {
     mWorld->mRates.mTargetBreaksAfterRun = 1;
-    ExpectTold(mWorld->Request("e0", "k"), 502, "unknown");
+    ExpectAnswer(mWorld->Request("e0", "k"), 502, "unknown");
     mWorld->mRates.mTargetBreaksAfterRun = 0;
     mWorld->RunFor(kSecond);
-    ExpectTold(mWorld->Request("e1", "k"), 409, "unknown");
+    ExpectAnswer(mWorld->Request("e1", "k"), 409, "unknown");
     CPPUNIT_ASSERT_EQUAL(1, mWorld->mRunsByKey["school/k"]);
   }
 
@@ -140,19 +140,19 @@
     mWorld->Crash("e0");
     mWorld->RunFor(5 * kSecond);
     mWorld->mRates.mTargetHangs = 0;
-    ExpectTold(mWorld->Request("e1", "k"), 409, "unknown");
+    ExpectAnswer(mWorld->Request("e1", "k"), 409, "unknown");
     mWorld->Start("e0");
     mWorld->RunFor(5 * kSecond);
-    ExpectTold(mWorld->Request("e0", "k"), 409, "unknown");
+    ExpectAnswer(mWorld->Request("e0", "k"), 409, "unknown");
   }
 
   void RefusedEverywhereIsNotRunAndTheKeyIsFreeAgain()
   {
     mWorld->mRates.mTargetRefuses = 1;
-    ExpectTold(mWorld->Request("e0", "k"), 503, "not-run");
+    ExpectAnswer(mWorld->Request("e0", "k"), 503, "not-run");
     mWorld->mRates.mTargetRefuses = 0;
     mWorld->RunFor(kSecond);
-    ExpectTold(mWorld->Request("e1", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "k"), 200, "ran");
   }
 
   void ControlGroupLossAnswersNotRunByTheDeadline()
@@ -161,16 +161,16 @@
     mWorld->Crash("c1");
     const Micros start = mWorld->mNow;
     const std::uint64_t id = mWorld->Request("e0", "k");
-    ExpectTold(id, 504, "not-run");
-    CPPUNIT_ASSERT(mWorld->mRequests[id].mTold->mAt - start <=
+    ExpectAnswer(id, 504, "not-run");
+    CPPUNIT_ASSERT(mWorld->mRequests[id].mAnswer->mAt - start <=
                    2100 * kMillisecond);
     // Requests without an idempotency key do not need the control group.
-    ExpectTold(mWorld->Request("e0", "", "", "/consent/roster"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e0", "", "", "/consent/roster"), 200, "ran");
     // The pending claim may still commit; it must then be released.
     mWorld->Start("c0");
     mWorld->Start("c1");
     mWorld->RunFor(6 * kSecond);
-    ExpectTold(mWorld->Request("e1", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "k"), 200, "ran");
   }
 
   void BadRequestsGetClearErrors()
@@ -190,7 +190,7 @@
       { "bad key", "/consent/permissions", "school", 400 },
     };
     for (const Case& entry : cases) {
-      ExpectTold(
+      ExpectAnswer(
         mWorld->Request("e0", entry.mKey, "body", entry.mPath, entry.mToken),
         entry.mStatus,
         "not-run");
@@ -205,7 +205,7 @@
     for (int i = 0; i < 50; ++i) {
       const std::uint64_t id = mWorld->Request("e0", "", "", "/consent/roster");
       mWorld->RunUntil([&] { return Answered(id); }, 3 * kSecond);
-      ran += mWorld->mRequests[id].mTold->mOutcome == "ran" ? 1 : 0;
+      ran += mWorld->mRequests[id].mAnswer->mOutcome == "ran" ? 1 : 0;
       mWorld->RunFor(500 * kMillisecond);
     }
     CPPUNIT_ASSERT(ran >= 40);
@@ -229,7 +229,7 @@
     mWorld->RunFor(kSecond);
     mWorld->mRunsByTarget.clear();
     for (int i = 0; i < 20; ++i) {
-      ExpectTold(
+      ExpectAnswer(
         mWorld->Request(i % 2 == 0 ? "e0" : "e1", "", "", "/consent/roster"),
         200,
         "ran");
@@ -346,12 +346,12 @@
   {
     const std::uint64_t id = mWorld->Request("e0", "k");
     mWorld->Stop("e0");
-    ExpectTold(id, 200, "ran");
+    ExpectAnswer(id, 200, "ran");
     CPPUNIT_ASSERT(mWorld->mHosts["e0"].mUp);
     CPPUNIT_ASSERT(mWorld->RunUntil([&] { return !mWorld->mHosts["e0"].mUp; },
                                     10 * kSecond));
     // The key's record was completed before the host exited.
-    ExpectTold(mWorld->Request("e1", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "k"), 200, "ran");
   }
 
   void LeaderLostCommitsAgainWithinThreeSeconds()
@@ -369,7 +369,7 @@
 
   void ReplacedDiskJoinsAndASecondLossIsSurvived()
   {
-    ExpectTold(mWorld->Request("e0", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e0", "k"), 200, "ran");
     mWorld->Crash("c0");
     mWorld->ReplaceDisk("c0");
     mWorld->Start("c0");
@@ -383,9 +383,9 @@
     mWorld->RunFor(kSecond);
     mWorld->Crash("c1");
     mWorld->RunFor(4 * kSecond);
-    ExpectTold(mWorld->Request("e1", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "k"), 200, "ran");
     CPPUNIT_ASSERT_EQUAL(1, mWorld->mRunsByKey["school/k"]);
-    ExpectTold(mWorld->Request("e1", "fresh"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e1", "fresh"), 200, "ran");
   }
 
   void FailedDiskStopsOneVoteAndNotTheSystem()
@@ -396,7 +396,7 @@
     CPPUNIT_ASSERT(mWorld->StateOf(failed).mGroup.mFailed);
     const std::string other = failed == "c0" ? "c1" : "c0";
     ExpectOperator(mWorld->Apply(other, "next", 1, SmallDeployment(2)), 200);
-    ExpectTold(mWorld->Request("e0", "k"), 200, "ran");
+    ExpectAnswer(mWorld->Request("e0", "k"), 200, "ran");
   }
 
   void SilentHostIsTakenAsGoneAndComesBack()
@@ -461,21 +461,21 @@
   }
   bool Answered(std::uint64_t aId)
   {
-    return mWorld->mRequests[aId].mTold.has_value();
+    return mWorld->mRequests[aId].mAnswer.has_value();
   }
   std::string Body(std::uint64_t aId)
   {
-    return mWorld->mRequests[aId].mTold->mBody;
+    return mWorld->mRequests[aId].mAnswer->mBody;
   }
-  void ExpectTold(std::uint64_t aId,
-                  std::uint32_t aStatus,
-                  const std::string& aOutcome)
+  void ExpectAnswer(std::uint64_t aId,
+                    std::uint32_t aStatus,
+                    const std::string& aOutcome)
   {
     CPPUNIT_ASSERT(
       mWorld->RunUntil([&] { return Answered(aId); }, 9 * kSecond));
-    const fakes::Told& told = *mWorld->mRequests[aId].mTold;
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(told.mBody, aStatus, told.mStatus);
-    CPPUNIT_ASSERT_EQUAL(aOutcome, told.mOutcome);
+    const fakes::ClientAnswer& answer = *mWorld->mRequests[aId].mAnswer;
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.mBody, aStatus, answer.mStatus);
+    CPPUNIT_ASSERT_EQUAL(aOutcome, answer.mOutcome);
   }
   void ExpectOperator(std::uint64_t aOperation, std::uint32_t aStatus)
   {
