--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -17,9 +17,9 @@
   CPPUNIT_TEST(KeyedRequestRunsOnceAndAResendGetsItsAnswer);
   CPPUNIT_TEST(ResendWhileTheFirstRunsWaitsForItsAnswer);
   CPPUNIT_TEST(KeyWithAnotherBodyIsRefused);
-  CPPUNIT_TEST(KeyOfOneCallerIsNothingToAnother);
-  CPPUNIT_TEST(ViewsShowACallerNothingOfAnother);
-  CPPUNIT_TEST(LostEndIsUnknownAndNeverDispatchedAgain);
+  CPPUNIT_TEST(KeysAreScopedByClientAccount);
+  CPPUNIT_TEST(ViewsHideOtherClientAccounts);
+  CPPUNIT_TEST(LostResponseIsUnknownAndNeverRetried);
   CPPUNIT_TEST(OwnerLostMidwayMakesTheKeyUnknown);
   CPPUNIT_TEST(RefusedEverywhereIsNotRunAndTheKeyIsFreeAgain);
   CPPUNIT_TEST(ControlGroupLossAnswersNotRunByTheDeadline);
@@ -27,17 +27,17 @@
   CPPUNIT_TEST(IdempotentRequestIsRetriedAfterABreak);
   CPPUNIT_TEST(DrainReachesEveryHostWithinTwoSecondsDespiteLoss);
   CPPUNIT_TEST(DrainingTargetGetsNoNewWork);
-  CPPUNIT_TEST(ChangeIdTellsItsFirstOutcomeAgainAfterARestart);
+  CPPUNIT_TEST(RepeatedChangeIdReturnsFirstOutcomeAfterRestart);
   CPPUNIT_TEST(RestartAfterAThousandChangesKeepsThemAll);
-  CPPUNIT_TEST(RacingOperatorsHaveOneWinner);
+  CPPUNIT_TEST(OneOfTwoConcurrentChangesIsAccepted);
   CPPUNIT_TEST(ChangeIsInForceEverywhereWithinTwoSecondsDespiteLoss);
   CPPUNIT_TEST(EntryWithoutAQuorumServesItsCachedDeploymentAfterAWait);
-  CPPUNIT_TEST(StartWithAVoterDownCausesNoStormOfMessages);
+  CPPUNIT_TEST(StartWithAVoterDownSendsFewMessages);
   CPPUNIT_TEST(StopFinishesWhatIsInFlightAndThenExits);
   CPPUNIT_TEST(LeaderLostCommitsAgainWithinThreeSeconds);
   CPPUNIT_TEST(ReplacedDiskJoinsAndASecondLossIsSurvived);
   CPPUNIT_TEST(FailedDiskStopsOneVoteAndNotTheSystem);
-  CPPUNIT_TEST(SilentHostIsTakenAsGoneAndComesBack);
+  CPPUNIT_TEST(SilentHostIsConsideredGoneUntilItReturns);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -81,7 +81,7 @@
     ExpectAnswer(mWorld->Request("e1", "k", "two"), 422, "not-run");
   }
 
-  void KeyOfOneCallerIsNothingToAnother()
+  void KeysAreScopedByClientAccount()
   {
     ExpectAnswer(mWorld->Request("e0", "k", "one"), 200, "ran");
     ExpectAnswer(
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT_EQUAL(1, mWorld->mRunsByKey["rival/k"]);
   }
 
-  void ViewsShowACallerNothingOfAnother()
+  void ViewsHideOtherClientAccounts()
   {
     ExpectAnswer(mWorld->Request("e0", "k", "one"), 200, "ran");
     mWorld->mRates.mTargetHangs = 1;
@@ -121,7 +121,7 @@
                    std::string::npos);
   }
 
-  void LostEndIsUnknownAndNeverDispatchedAgain()
+  void LostResponseIsUnknownAndNeverRetried()
   {
     mWorld->mRates.mTargetBreaksAfterRun = 1;
     ExpectAnswer(mWorld->Request("e0", "k"), 502, "unknown");
@@ -237,7 +237,7 @@
     CPPUNIT_ASSERT_EQUAL(0, mWorld->mRunsByTarget["t0"]);
   }
 
-  void ChangeIdTellsItsFirstOutcomeAgainAfterARestart()
+  void RepeatedChangeIdReturnsFirstOutcomeAfterRestart()
   {
     ExpectOperator(mWorld->Apply("c0", "second", 1, SmallDeployment(2)), 200);
     ExpectOperator(mWorld->Apply("c1", "third", 2, SmallDeployment(3)), 200);
@@ -283,7 +283,7 @@
                    std::string::npos);
   }
 
-  void RacingOperatorsHaveOneWinner()
+  void OneOfTwoConcurrentChangesIsAccepted()
   {
     const std::uint64_t left =
       mWorld->Apply("c0", "left", 1, SmallDeployment(2));
@@ -332,7 +332,7 @@
                          mWorld->StateOf("e0").mVersion.version());
   }
 
-  void StartWithAVoterDownCausesNoStormOfMessages()
+  void StartWithAVoterDownSendsFewMessages()
   {
     mWorld->Crash("c1");
     mWorld->Crash("c2");
@@ -399,7 +399,7 @@
     ExpectAnswer(mWorld->Request("e0", "k"), 200, "ran");
   }
 
-  void SilentHostIsTakenAsGoneAndComesBack()
+  void SilentHostIsConsideredGoneUntilItReturns()
   {
     mWorld->Partition({ "e1" });
     mWorld->RunFor(6 * kSecond);
