--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -10,7 +10,7 @@
 // A member is removed only after it has been silent for this long.
 constexpr Micros kRemovableAfter = 3 * kSecond;
 // Maximum number of entries that a learner may lag behind to become a voter.
-constexpr std::uint64_t kCaughtUp = 10;
+constexpr std::uint64_t kMaxLearnerLag = 10;
 
 void Reply(Context& aContext,
            const CommitWaiter& aWaiter,
@@ -136,7 +136,7 @@
     const auto progress = group.mProgress.find(member.id());
     if (member.voter() || progress == group.mProgress.end() ||
         progress->second.mMatch == 0 ||
-        progress->second.mMatch + kCaughtUp < group.mCommit) {
+        progress->second.mMatch + kMaxLearnerLag < group.mCommit) {
       continue;
     }
     wire::Membership next = group.mMembership;
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -85,7 +85,7 @@
 
 // A target that still answers requests is alive even if the host that holds
 // its lease is gone.
-bool AnswersHere(State& aState, const wire::Fact& aFact, Micros aNow)
+bool HasAnsweredRecently(State& aState, const wire::Fact& aFact, Micros aNow)
 {
   const auto service = aState.mServices.find(aFact.service());
   if (service == aState.mServices.end()) {
@@ -183,7 +183,7 @@
       }
     } else if (aContext.mNow - state.mStartedAt > kOrphanGrace &&
                IsOrphan(state, fact, aContext.mNow) &&
-               !AnswersHere(state, fact, aContext.mNow)) {
+               !HasAnsweredRecently(state, fact, aContext.mNow)) {
       orphans.push_back(fact);
     }
   }
--- a/src/node/proposals.cpp
+++ b/src/node/proposals.cpp
@@ -51,7 +51,7 @@
   SendTo(aContext, to, std::move(message));
 }
 
-Proposal Withdraw(State& aState, std::uint64_t aId)
+Proposal RemoveProposal(State& aState, std::uint64_t aId)
 {
   const auto found = aState.mProposals.find(aId);
   Proposal proposal = std::move(found->second);
@@ -125,7 +125,7 @@
       Send(aContext, id, proposal);
       continue;
     }
-    GiveUp(aContext, Withdraw(state, id));
+    GiveUp(aContext, RemoveProposal(state, id));
   }
 }
 
@@ -167,7 +167,7 @@
     return;
   }
   if (aMessage.has_outcome()) {
-    Resolve(aContext, Withdraw(state, aMessage.id()), aMessage.outcome());
+    Resolve(aContext, RemoveProposal(state, aMessage.id()), aMessage.outcome());
     return;
   }
   state.mLeaderHint = aMessage.leader();
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Time for the drain fact to reach the hosts that serve address lists.
-constexpr Micros kSpreadTime = 2 * kSecond;
+constexpr Micros kDrainPropagationTime = 2 * kSecond;
 
 } // namespace
 
@@ -20,7 +20,7 @@
   state.mStopAt = aContext.mNow;
   if (serves) {
     state.mStopAt +=
-      kSpreadTime + state.mSettings.answer_keep_ms() * kMillisecond;
+      kDrainPropagationTime + state.mSettings.answer_keep_ms() * kMillisecond;
   }
   aContext.Log(kInfo, "stopping: removed from the address lists for clients");
   const wire::Fact* self = membership::Find(
