--- a/tests/fakes/world.cpp
+++ b/tests/fakes/world.cpp
@@ -112,7 +112,7 @@
   if (host.mDisk.mCache.version() > 0) {
     *started.mutable_cached() = host.mDisk.mCache;
   }
-  Take(host, std::move(event));
+  ProcessEvent(host, std::move(event));
 }
 
 void World::StartAll()
@@ -144,20 +144,21 @@
 {
   wire::Event event;
   event.mutable_sync_failed()->set_reason("no space left");
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
 }
 
-void World::Partition(const std::set<std::string>& aOneSide)
+void World::Partition(const std::set<std::string>& aPartition)
 {
-  mOneSide = aOneSide;
+  mPartition = aPartition;
 }
 
-bool World::Cut(const std::string& aFrom, const std::string& aTo) const
+bool World::IsPartitioned(const std::string& aFrom,
+                          const std::string& aTo) const
 {
-  return mOneSide.count(aFrom) != mOneSide.count(aTo);
+  return mPartition.count(aFrom) != mPartition.count(aTo);
 }
 
-void World::Post(const std::string& aHost, Micros aAt, wire::Event aEvent)
+void World::Schedule(const std::string& aHost, Micros aAt, wire::Event aEvent)
 {
   mQueue.push(
     { aAt, ++mOrder, aHost, mHosts.at(aHost).mIncarnation, std::move(aEvent) });
@@ -179,7 +180,7 @@
   announced.set_slots(2);
   announced.set_incarnation(1);
   announced.set_draining(aDraining);
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
 }
 
 std::uint64_t World::Request(const std::string& aHost,
@@ -198,7 +199,7 @@
   arrived.set_path(aPath);
   arrived.set_idempotency_key(aKey);
   arrived.set_body_digest(Sha256Hex(aBody));
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
   return id;
 }
 
@@ -215,7 +216,7 @@
   apply.mutable_apply()->set_operator_name("op-" + aHost);
   apply.mutable_apply()->set_expected_version(aExpected);
   apply.mutable_apply()->set_text(aText);
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
   return mLastOperation;
 }
 
@@ -230,7 +231,7 @@
   drain.set_what("target");
   drain.set_service(aService);
   drain.set_id(aTarget);
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
   return mLastOperation;
 }
 
@@ -238,7 +239,7 @@
 {
   wire::Event event;
   event.mutable_stop();
-  Post(aHost, mNow, std::move(event));
+  Schedule(aHost, mNow, std::move(event));
 }
 
 void World::RunFor(Micros aTime)
@@ -264,7 +265,7 @@
     if (next.mEvent.has_tick() && next.mAt != host.mTimerAt) {
       continue;
     }
-    Take(host, std::move(next.mEvent));
+    ProcessEvent(host, std::move(next.mEvent));
     if (mAfterStep) {
       mAfterStep();
     }
@@ -283,7 +284,7 @@
   return "";
 }
 
-void World::Take(FakeHost& aHost, wire::Event aEvent)
+void World::ProcessEvent(FakeHost& aHost, wire::Event aEvent)
 {
   aEvent.set_now_us(mNow);
   aEvent.set_random(mRandom());
@@ -335,7 +336,7 @@
       aHost.mTimerAt = std::max(aEffect.timer().at_us(), mNow);
       wire::Event event;
       event.mutable_tick();
-      Post(aHost.mSettings.id(), aHost.mTimerAt, std::move(event));
+      Schedule(aHost.mSettings.id(), aHost.mTimerAt, std::move(event));
       break;
     }
     case wire::Effect::kDispatch:
@@ -353,9 +354,12 @@
       break;
     }
     case wire::Effect::kAccept:
-      RecordAnswer(
-        aEffect.accept().request(),
-        { 200, "ran", mKept[aEffect.accept().request()].body(), 0, mNow });
+      RecordAnswer(aEffect.accept().request(),
+                   { 200,
+                     "ran",
+                     mStoredAnswers[aEffect.accept().request()].body(),
+                     0,
+                     mNow });
       break;
     case wire::Effect::kOperation:
       mOperations[aEffect.operation().operation()] = {
@@ -381,8 +385,9 @@
   mBytes += size;
   mBytesBy[from] += size;
   mBytesTo[aSend.to()] += size;
-  if (mHosts.count(aSend.address()) == 0 || Cut(from, aSend.address()) ||
-      Chance() < mRates.mLoss || (mDrop && mDrop(aSend))) {
+  if (mHosts.count(aSend.address()) == 0 ||
+      IsPartitioned(from, aSend.address()) || Chance() < mRates.mLoss ||
+      (mDrop && mDrop(aSend))) {
     return;
   }
   const int copies = Chance() < mRates.mDuplicate ? 2 : 1;
@@ -393,7 +398,7 @@
       static_cast<Micros>(mRandom() % static_cast<std::uint64_t>(width + 1));
     wire::Event event;
     *event.mutable_peer() = aSend.message();
-    Post(aSend.address(), mNow + delay, std::move(event));
+    Schedule(aSend.address(), mNow + delay, std::move(event));
   }
 }
 
@@ -404,7 +409,7 @@
   event.mutable_sync_done()->set_sequence(aPersist.sequence());
   const Micros delay =
     kSyncMin + static_cast<Micros>(mRandom() % (kSyncMax - kSyncMin));
-  Post(aHost.mSettings.id(), mNow + delay, std::move(event));
+  Schedule(aHost.mSettings.id(), mNow + delay, std::move(event));
 }
 
 void World::Sync(FakeHost& aHost, std::uint64_t aSequence)
@@ -483,16 +488,16 @@
     wire::StoredAnswer& answer = *ended.mutable_answer();
     answer.set_status(200);
     answer.set_body("run of " + std::to_string(id));
-    mKept[id] = answer;
+    mStoredAnswers[id] = answer;
     if (!aDispatch.buffer_answer()) {
       wire::Event head;
       head.mutable_head()->set_request(id);
       head.mutable_head()->set_attempt(aDispatch.attempt());
       head.mutable_head()->set_status(200);
-      Post(aHost.mSettings.id(), at, std::move(head));
+      Schedule(aHost.mSettings.id(), at, std::move(head));
     }
   }
-  Post(aHost.mSettings.id(), at, std::move(event));
+  Schedule(aHost.mSettings.id(), at, std::move(event));
 }
 
 void World::RecordAnswer(std::uint64_t aRequest, ClientAnswer aAnswer)
--- a/tests/fakes/world.h
+++ b/tests/fakes/world.h
@@ -97,8 +97,8 @@
   void FailDisk(const std::string& aHost);
 
   /// \brief Cuts all links between the given hosts and the others.
-  void Partition(const std::set<std::string>& aOneSide);
-  void Heal() { mOneSide.clear(); }
+  void Partition(const std::set<std::string>& aPartition);
+  void Heal() { mPartition.clear(); }
 
   void Announce(const std::string& aHost,
                 const std::string& aService,
@@ -129,7 +129,7 @@
     return mHosts.at(aHost).mState;
   }
   [[nodiscard]] double Chance();
-  [[nodiscard]] std::uint64_t Word() { return mRandom(); }
+  [[nodiscard]] std::uint64_t NextRandom() { return mRandom(); }
   void AddViolation(const std::string& aWhat);
 
   Micros mNow = 1000 * kSecond;
@@ -163,8 +163,8 @@
     }
   };
 
-  void Post(const std::string& aHost, Micros aAt, wire::Event aEvent);
-  void Take(FakeHost& aHost, wire::Event aEvent);
+  void Schedule(const std::string& aHost, Micros aAt, wire::Event aEvent);
+  void ProcessEvent(FakeHost& aHost, wire::Event aEvent);
   void Perform(FakeHost& aHost, const wire::Effect& aEffect);
   void Send(const FakeHost& aHost, const wire::SendPeer& aSend);
   void Persist(FakeHost& aHost, const wire::Persist& aPersist);
@@ -173,18 +173,18 @@
   void RecordRun(std::uint64_t aRequest, const wire::Dispatch& aDispatch);
   void RecordAnswer(std::uint64_t aRequest, ClientAnswer aAnswer);
   void CheckVersions(FakeHost& aHost);
-  [[nodiscard]] bool Cut(const std::string& aFrom,
-                         const std::string& aTo) const;
+  [[nodiscard]] bool IsPartitioned(const std::string& aFrom,
+                                   const std::string& aTo) const;
 
   std::mt19937_64 mRandom;
   std::priority_queue<Pending> mQueue;
   std::uint64_t mOrder = 0;
   std::uint64_t mLastRequest = 0;
   std::uint64_t mLastOperation = 0;
-  std::set<std::string> mOneSide;
+  std::set<std::string> mPartition;
   std::map<std::uint64_t, std::string> mTextOfVersion;
   std::map<std::uint64_t, std::string> mLeaderOfTerm;
-  std::map<std::uint64_t, wire::StoredAnswer> mKept;
+  std::map<std::uint64_t, wire::StoredAnswer> mStoredAnswers;
 };
 
 /// \brief A deployment of one service, "consent", with a keyed kind "sign" and
