--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -35,7 +35,7 @@
 
 double Bytes(World& aWorld, const std::string& aHost)
 {
-  return static_cast<double>(aWorld.mBytesBy[aHost] + aWorld.mBytesTo[aHost]);
+  return static_cast<double>(aWorld.mBytesFrom[aHost] + aWorld.mBytesTo[aHost]);
 }
 
 // Bytes a second that hosts send and receive, over some time.
@@ -48,7 +48,7 @@
 
 Rates Measure(World& aWorld, double aSeconds)
 {
-  aWorld.mBytesBy.clear();
+  aWorld.mBytesFrom.clear();
   aWorld.mBytesTo.clear();
   aWorld.RunFor(static_cast<Micros>(aSeconds * kSecond));
   Rates rates;
@@ -99,7 +99,7 @@
   for (const int entries : { 8, 16, 32, 64, 128 }) {
     const auto world = Build(entries, kServices, 2 * entries);
     const Rates idle = Measure(*world, 20);
-    world->mBytesBy.clear();
+    world->mBytesFrom.clear();
     world->mBytesTo.clear();
     const Micros start = world->mNow;
     world->Apply("c0", "second", 1, Deployment(kServices, 1));
--- a/tests/fakes/world.cpp
+++ b/tests/fakes/world.cpp
@@ -383,7 +383,7 @@
   const std::size_t size = aSend.message().ByteSizeLong();
   ++mMessages;
   mBytes += size;
-  mBytesBy[from] += size;
+  mBytesFrom[from] += size;
   mBytesTo[aSend.to()] += size;
   if (mHosts.count(aSend.address()) == 0 ||
       IsPartitioned(from, aSend.address()) || Chance() < mRates.mLoss ||
--- a/tests/fakes/world.h
+++ b/tests/fakes/world.h
@@ -145,7 +145,7 @@
   std::function<void()> mAfterStep;
   std::uint64_t mMessages = 0;
   std::uint64_t mBytes = 0;
-  std::map<std::string, std::uint64_t> mBytesBy;
+  std::map<std::string, std::uint64_t> mBytesFrom;
   std::map<std::string, std::uint64_t> mBytesTo;
   std::function<bool(const wire::SendPeer&)> mDrop;
 
