--- a/src/node/admission.cpp
+++ b/src/node/admission.cpp
@@ -121,7 +121,7 @@
   if (!IsKeyText(key)) {
     Refuse(aContext,
            aEvent,
-           { kBadRequest, kNotRun, "Idempotency-Key not valid" },
+           { kBadRequest, kNotRun, "invalid Idempotency-Key" },
            "bad_key");
     return false;
   }
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -97,7 +97,7 @@
     aRequest,
     { kUnavailable,
       kNotRun,
-      "no target took the request",
+      "no target accepted the request",
       std::max(ExpectedWait(service, aRequest), kMinRetryAfter) });
 }
 
--- a/src/node/views.cpp
+++ b/src/node/views.cpp
@@ -257,7 +257,7 @@
   Object object;
   if (found == nullptr) {
     object.set("error", "not-found");
-    object.set("message", "this host does not keep that version");
+    object.set("message", "version not available on this host");
     return Write(object);
   }
   object.set("version", Number(found->version()));
