--- a/src/catalog/catalog.cpp
+++ b/src/catalog/catalog.cpp
@@ -58,13 +58,12 @@
   if (aChange.base_version() != aState.mVersion) {
     return OutcomeOf(aState,
                      false,
-                     "it is based on version " +
+                     "it builds on version " +
                        std::to_string(aChange.base_version()) + ", version " +
-                       std::to_string(aState.mVersion) + " is current");
+                       std::to_string(aState.mVersion) + " is in force");
   }
   if (aChange.version() <= aState.mVersion) {
-    return OutcomeOf(
-      aState, false, "its version is not greater than the current one");
+    return OutcomeOf(aState, false, "its version is not above the current one");
   }
   Result<std::string> document = UnpackDocument(aChange);
   if (!document) {
@@ -119,8 +118,7 @@
     aState.mTargets.erase(found);
   }
   RecordRemoval(aState, aRemoval.id(), aRemoval.born_ms());
-  return OutcomeOf(
-    aState, true, later ? "a later incarnation remains" : "removed");
+  return OutcomeOf(aState, true, later ? "a later one stays" : "removed");
 }
 
 } // namespace
@@ -178,8 +176,7 @@
     return Fail(ErrorCode::Corrupt, "policy: " + document.error().mMessage);
   }
   if (Hash64(document.value()) != aChange.digest()) {
-    return Fail(ErrorCode::Corrupt,
-                "policy: the digest of the document does not match");
+    return Fail(ErrorCode::Corrupt, "policy: the text is not whole");
   }
   return document;
 }
@@ -221,7 +218,7 @@
     case wire::CatalogCommand::BODY_NOT_SET:
       break;
   }
-  return OutcomeOf(aState, false, "unknown command");
+  return OutcomeOf(aState, false, "an unknown command");
 }
 
 bool ReplacePolicy(State& aState, const wire::PutPolicy& aChange)
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -332,12 +332,10 @@
   }
   if (aState.mCommit < aState.mMembershipIndex ||
       aState.mCommit < aState.mTermStart) {
-    return Fail(ErrorCode::Conflict,
-                "an earlier membership change is not yet committed");
+    return Fail(ErrorCode::Conflict, "an earlier change is not committed");
   }
   if (VoterChanges(aState.mMembership, aNext) > 1 || VoterCount(aNext) == 0) {
-    return Fail(ErrorCode::InvalidArgument,
-                "only one voter can be changed at a time");
+    return Fail(ErrorCode::InvalidArgument, "one voter at a time");
   }
   wire::Entry entry;
   entry.set_term(aState.mTerm);
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -143,7 +143,7 @@
 {
   wire::ControlState saved;
   if (!saved.ParseFromString(aBytes)) {
-    return Fail(ErrorCode::Corrupt, "control state snapshot is malformed");
+    return Fail(ErrorCode::Corrupt, "control state does not parse");
   }
   State state;
   for (const wire::DeploymentVersion& version : saved.history()) {
--- a/src/core/text_delta.cpp
+++ b/src/core/text_delta.cpp
@@ -31,14 +31,12 @@
 {
   if (aDelta.prefix_bytes() > aBase.size() ||
       aDelta.suffix_bytes() > aBase.size() - aDelta.prefix_bytes()) {
-    return Fail(ErrorCode::Corrupt,
-                "the delta was made from another base text");
+    return Fail(ErrorCode::Corrupt, "the delta is of another text");
   }
   std::string next = aBase.substr(0, aDelta.prefix_bytes()) + aDelta.middle() +
                      aBase.substr(aBase.size() - aDelta.suffix_bytes());
   if (Hash64(next) != aDelta.digest()) {
-    return Fail(ErrorCode::Corrupt,
-                "the delta was made from another base text");
+    return Fail(ErrorCode::Corrupt, "the delta is of another text");
   }
   return next;
 }
--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -152,7 +152,7 @@
       aOut.mutable_load()->set_present(true);
     }
   } catch (const std::exception&) {
-    return "the body is not a valid JSON object";
+    return "the body is not the JSON object of an announce";
   }
   if (!IsAddress(aOut.address())) {
     return "address must be ip:port";
@@ -256,8 +256,7 @@
       return allowed ? aRoute.mView(aState, viewer, aCall, aNow) : "";
     });
   if (!allowed) {
-    return SendError(
-      aCall, kUnauthorized, "the token does not permit this request");
+    return SendError(aCall, kUnauthorized, "a token that may see this");
   }
   SendText(aCall, kOk, kJson, body);
   return ConnectionAction::KeepOpen;
--- a/src/edge/attempt.cpp
+++ b/src/edge/attempt.cpp
@@ -138,7 +138,7 @@
     while (true) {
       const Micros left = Remaining();
       if (left <= 0) {
-        throw Poco::TimeoutException("attempt deadline exceeded");
+        throw Poco::TimeoutException("deadline");
       }
       const int ready =
         ::poll(items, 2, static_cast<int>(left / kMillisecond) + 1);
@@ -204,7 +204,7 @@
         return true;
       }
       if (read == BodyRead::Broken) {
-        throw Poco::Net::NetException("response body ended early");
+        throw Poco::Net::NetException("body broken");
       }
     }
     return false;
@@ -219,7 +219,7 @@
       // The request ran, but its response is too large to be recorded.
       answer.set_status(kBadGateway);
       answer.set_content_type("text/plain");
-      mBody = "response too large to record\n";
+      mBody = "answer too large to record\n";
     }
     answer.set_body(mBody);
     mExchange->StoreAnswer(mDispatch.attempt(), answer);
--- a/src/edge/http_server.cpp
+++ b/src/edge/http_server.cpp
@@ -79,9 +79,7 @@
     CountHeaders(aRequest, HTTPMessage::CONTENT_LENGTH);
   if (CountHeaders(aRequest, HTTPMessage::TRANSFER_ENCODING) > 0) {
     return lengths > 0
-             ? RequestError{ kBadRequest,
-                             "both Content-Length and Transfer-Encoding are "
-                             "given" }
+             ? RequestError{ kBadRequest, "both length and transfer encoding" }
              : RequestError{ kLengthRequired, "a Content-Length is required" };
   }
   if (lengths > 1) {
--- a/src/edge/runtime.cpp
+++ b/src/edge/runtime.cpp
@@ -291,8 +291,7 @@
     lock, kOperationTimeout, [&] { return mOperationAnswers.count(id) != 0; });
   wire::OperationAnswer answer;
   answer.set_status(kUnavailable);
-  answer.set_body("{\"error\":\"unknown\",\"message\":\"no result in time; the "
-                  "operation may still complete\"}");
+  answer.set_body("{\"error\":\"unknown\",\"message\":\"no answer in time\"}");
   if (done) {
     answer = mOperationAnswers[id];
     mOperationAnswers.erase(id);
--- a/src/frontend/http_message.cpp
+++ b/src/frontend/http_message.cpp
@@ -225,7 +225,7 @@
   }
   const ReadStatus body = mBody.Feed(aBuffer, mRequest.mBody);
   if (body == ReadStatus::Malformed) {
-    return Reject(400, "malformed chunked body");
+    return Reject(400, "malformed chunks");
   }
   if (mRequest.mBody.size() > aLimits.mMaxBodyBytes) {
     return Reject(413, "body too large");
--- a/src/frontend/http_server.cpp
+++ b/src/frontend/http_server.cpp
@@ -115,7 +115,7 @@
       return;
     }
     if (partial) {
-      RejectMalformed(408, "request incomplete at its timeout");
+      RejectMalformed(408, "request not whole in time");
     } else {
       BeginLingeringClose();
     }
--- a/src/frontend/native_dialect.cpp
+++ b/src/frontend/native_dialect.cpp
@@ -67,7 +67,7 @@
   if (aRequest.mMethod == "DELETE") {
     return RemoveTargetCall{ ParseRemoval(aId, aRequest.mBody) };
   }
-  return InvalidCall{ 405, "targets support PUT and DELETE" };
+  return InvalidCall{ 405, "targets take PUT and DELETE" };
 }
 
 Call ParsePath(const HttpRequest& aRequest)
@@ -101,7 +101,7 @@
   if (std::optional<Call> call = ParseQuarantineCall(aRequest.mMethod, path)) {
     return *call;
   }
-  return InvalidCall{ 404, "unknown call" };
+  return InvalidCall{ 404, "no such call" };
 }
 
 Call ParseCall(const HttpRequest& aRequest)
--- a/src/frontend/quarantine_calls.cpp
+++ b/src/frontend/quarantine_calls.cpp
@@ -44,9 +44,7 @@
   Poco::UInt64 identity = 0;
   if (!Poco::NumberParser::tryParseHex64(aPath.substr(kPath.size() + 1),
                                          identity)) {
-    return InvalidCall{
-      400, "the request identity must have 16 hexadecimal digits"
-    };
+    return InvalidCall{ 400, "an identity has 16 hexadecimal digits" };
   }
   return ReleaseRequestCall{ identity };
 }
--- a/src/node/admission.cpp
+++ b/src/node/admission.cpp
@@ -121,7 +121,7 @@
   if (!IsKeyText(key)) {
     Refuse(aContext,
            aEvent,
-           { kBadRequest, kNotRun, "invalid Idempotency-Key" },
+           { kBadRequest, kNotRun, "Idempotency-Key not valid" },
            "bad_key");
     return false;
   }
--- a/src/node/attempt_ends.cpp
+++ b/src/node/attempt_ends.cpp
@@ -97,7 +97,7 @@
     aRequest,
     { kUnavailable,
       kNotRun,
-      "no target accepted the request",
+      "no target took the request",
       std::max(ExpectedWait(service, aRequest), kMinRetryAfter) });
 }
 
--- a/src/node/deployments.cpp
+++ b/src/node/deployments.cpp
@@ -185,8 +185,8 @@
     state.mReady = true;
     aContext.Log(kInfo,
                  std::string("ready, ") + (confirmed
-                                             ? "confirmed by a quorum"
-                                             : "quorum wait timed out"));
+                                             ? "by a quorum's word"
+                                             : "after waiting for one"));
   }
 }
 
--- a/src/node/entry.cpp
+++ b/src/node/entry.cpp
@@ -33,7 +33,7 @@
                   aRequest,
                   { kUnavailable,
                     aRequest.mMayHaveRun ? kUnknown : kNotRun,
-                    "timed out waiting for a free target",
+                    "no free target in time",
                     wait });
 }
 
--- a/src/node/group.cpp
+++ b/src/node/group.cpp
@@ -145,7 +145,7 @@
         changed.set_voter(true);
       }
     }
-    aContext.Log(kInfo, "control member " + member.id() + " promoted to voter");
+    aContext.Log(kInfo, "control member " + member.id() + " becomes a voter");
     ProposeMembership(aContext, next);
     return;
   }
--- a/src/node/keys.cpp
+++ b/src/node/keys.cpp
@@ -68,17 +68,16 @@
       AnswerStored(aContext, aRequest, aRecord);
       return;
     case wire::KEY_UNKNOWN:
-      AnswerAndForget(
-        aContext,
-        aRequest,
-        { kConflict, kUnknown, "outcome of the earlier attempt is unknown" });
+      AnswerAndForget(aContext,
+                      aRequest,
+                      { kConflict, kUnknown, "earlier attempt's end is lost" });
       return;
     case wire::KEY_CLAIMED:
       if (OwnerIsGone(aContext.mState, aRecord)) {
         AnswerAndForget(
           aContext,
           aRequest,
-          { kConflict, kUnknown, "host that ran the earlier attempt is gone" });
+          { kConflict, kUnknown, "earlier attempt's host is lost" });
         return;
       }
       AwaitRecord(aContext, aRequest);
--- a/src/node/liveness.cpp
+++ b/src/node/liveness.cpp
@@ -48,8 +48,7 @@
 void Suspect(Context& aContext, const wire::Fact& aHost)
 {
   aContext.Count("hosts_suspected");
-  aContext.Log(kWarning,
-               "host " + aHost.id() + " sent no heartbeat; considered gone");
+  aContext.Log(kWarning, "host " + aHost.id() + " is silent: taken as gone");
   wire::Fact fact = aHost;
   fact.set_sequence(aHost.sequence() + 1);
   fact.set_gone(true);
--- a/src/node/operators.cpp
+++ b/src/node/operators.cpp
@@ -34,7 +34,7 @@
   AnswerOperation(aContext,
                   aOperation,
                   kUnauthorized,
-                  ErrorJson("unauthorized", "invalid operator token"));
+                  ErrorJson("unauthorized", "wrong operator token"));
   return false;
 }
 
@@ -46,7 +46,7 @@
   }
   Poco::JSON::Object object;
   object.set("error", "invalid-argument");
-  object.set("message", "the deployment is invalid; nothing was changed");
+  object.set("message", "the deployment has faults; nothing was changed");
   object.set("faults", faults);
   return Write(object);
 }
@@ -98,7 +98,7 @@
       aContext,
       aEvent.operation(),
       kBadRequest,
-      ErrorJson("invalid-argument", "change id must have 1 to 100 bytes"));
+      ErrorJson("invalid-argument", "a change id of 1 to 100 bytes"));
     return;
   }
   const Checked<Deployment> parsed =
--- a/src/node/stop.cpp
+++ b/src/node/stop.cpp
@@ -22,7 +22,7 @@
     state.mStopAt +=
       kDrainPropagationTime + state.mSettings.answer_keep_ms() * kMillisecond;
   }
-  aContext.Log(kInfo, "stopping: removed from the address lists for clients");
+  aContext.Log(kInfo, "stopping: no longer given out to callers");
   const wire::Fact* self = membership::Find(
     state.mDirectory, { wire::FACT_HOST, "", aContext.Self() });
   if (self != nullptr && !membership::IsDraining(*self)) {
--- a/src/node/targets.cpp
+++ b/src/node/targets.cpp
@@ -99,9 +99,7 @@
     return;
   }
   if (state.mStopping) {
-    answer(
-      kUnavailable,
-      ErrorJson("stopping", "this host is stopping; announce to another host"));
+    answer(kUnavailable, ErrorJson("stopping", "announce to another host"));
     return;
   }
   const auto service = state.mDeployment.mServices.find(aEvent.service());
@@ -112,15 +110,14 @@
   }
   if (service->second.mTargetTokenSha256 != aEvent.token_sha256()) {
     aContext.Count("announces_unauthorized");
-    answer(kUnauthorized, ErrorJson("unauthorized", "invalid target token"));
+    answer(kUnauthorized, ErrorJson("unauthorized", "wrong target token"));
     return;
   }
   const wire::Fact* known = membership::Find(
     state.mDirectory, { wire::FACT_TARGET, aEvent.service(), aEvent.id() });
   if (known != nullptr && known->incarnation() > aEvent.incarnation()) {
     aContext.Count("announces_old_incarnation");
-    answer(kConflict,
-           ErrorJson("conflict", "a later incarnation is already registered"));
+    answer(kConflict, ErrorJson("conflict", "a later incarnation is known"));
     return;
   }
   Renew(aContext, aEvent, service->second);
--- a/src/node/views.cpp
+++ b/src/node/views.cpp
@@ -257,7 +257,7 @@
   Object object;
   if (found == nullptr) {
     object.set("error", "not-found");
-    object.set("message", "version not available on this host");
+    object.set("message", "this host does not keep that version");
     return Write(object);
   }
   object.set("version", Number(found->version()));
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -47,16 +47,16 @@
     addError("no host name");
   }
   if (aRoute.mPathPrefix.empty() || aRoute.mPathPrefix.front() != '/') {
-    addError("the path prefix does not start with a slash");
+    addError("the path prefix does not begin with a slash");
   }
   if (aRoute.mTimeout <= 0) {
-    addError("the timeout is not greater than 0");
+    addError("the timeout is not above 0");
   }
   if (aRoute.mTimeout > kMaxRouteTimeout) {
-    addError("the timeout is longer than 10 minutes");
+    addError("the timeout is over ten minutes");
   }
   if (aRoute.mAttempts < 1) {
-    addError("fewer than 1 attempt");
+    addError("less than one attempt");
   }
   if (aRoute.mBackends.empty()) {
     addError("no service");
@@ -68,11 +68,11 @@
       addError("unknown service " + backend.mService);
     }
     if (backend.mWeight < 0) {
-      addError("a weight is negative");
+      addError("a weight below 0");
     }
   }
   if (!aRoute.mBackends.empty() && weight <= 0) {
-    addError("the sum of the weights is not greater than 0");
+    addError("no weight above 0");
   }
 }
 
@@ -104,18 +104,17 @@
 {
   std::vector<std::string> faults;
   if (aPolicy.mVersion == 0) {
-    faults.emplace_back("the version is not greater than 0");
+    faults.emplace_back("the version is not above 0");
   }
   if (aPolicy.mVersion <= aPolicy.mBaseVersion) {
-    faults.emplace_back("the version is not greater than its base version");
+    faults.emplace_back("the version is not above its base");
   }
   std::set<std::string> keys;
   for (const Route& route : aPolicy.mRoutes) {
     ValidateRoute(aPolicy, route, faults);
     if (!keys.insert(IndexKey(route.mHostName, route.mPathPrefix)).second) {
-      faults.push_back(
-        "route " + route.mName +
-        ": another route has the same host name and path prefix");
+      faults.push_back("route " + route.mName +
+                       ": another route has its host name and prefix");
     }
   }
   return faults;
