--- a/src/edge/runtime.h
+++ b/src/edge/runtime.h
@@ -58,8 +58,8 @@
     return aReader(static_cast<const node::State&>(mState), Now());
   }
 
-  /// \brief Microseconds since the Unix epoch, taken at the start and monotonic
-  /// since then.
+  /// \brief Time in microseconds: since 1970 by the system clock at the start,
+  /// and monotonic from there on, so that later clock changes have no effect.
   [[nodiscard]] Micros Now() const;
   [[nodiscard]] bool Exited() const noexcept { return mExited; }
   [[nodiscard]] bool WaitExit(std::chrono::milliseconds aTimeout);
--- a/src/routing/latency.cpp
+++ b/src/routing/latency.cpp
@@ -19,7 +19,9 @@
 constexpr double kReportWeight = 0.05;
 constexpr int kMaxSamples = 1000;
 constexpr int kMaxDoublings = 4;
-// Tolerance for rounding, so that a share equal to the limit is allowed.
+// Tolerance for rounding, so that a share equal to the limit is allowed: in
+// floating point, 0.2 + 0.1 is slightly more than 0.3, although three ejected
+// targets of ten do not exceed a limit of 0.3.
 constexpr double kRoundingTolerance = 1e-9;
 
 double Decay(Micros aAge, Micros aHalfLife) noexcept
